--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -7,7 +7,7 @@
 use coordination::ask::{Ask, Class, Hello, Seq, Verdict};
 use coordination::prompt::Prompt;
 use coordination::scheduler::{Effect, Scheduler, Session, GATHER_MS};
-use coordination::slot::{Claims, Slots, Wish};
+use coordination::slot::{Criteria, Reservations, Slots};
 use state::clock::Millis;
 use state::id::{CustomerId, EndpointId, Epoch};
 use std::collections::VecDeque;
@@ -49,9 +49,9 @@
     Prompt::new(parts, 100)
 }
 
-fn wish(n: u64) -> Wish {
-    Wish {
-        asker: None,
+fn criteria(n: u64) -> Criteria {
+    Criteria {
+        session: None,
         prompt: prompt(n),
         avoid: None,
         aim_ms: u64::from(AIM_MS),
@@ -65,19 +65,19 @@
 
 /// Engines that have answered some requests.
 fn fill(slots: &mut Slots, engines: u32) {
-    slots.set_memory(Some(MEMORY));
-    slots.set_copy_rate(Some(COPY_RATE));
+    slots.set_memory_tokens(Some(MEMORY));
+    slots.set_copy_tokens_per_s(Some(COPY_RATE));
     for id in 1..=engines {
         slots.set(EndpointId(id), 10_000, 0, false);
     }
     for n in 0..SENT * u64::from(engines) {
         let id = EndpointId(1 + u32::try_from(n % u64::from(engines)).unwrap_or(0));
         let now = Millis(n / u64::from(engines) * ROUND_MS);
-        if let Some(mut reading) = slots.take(now, id, prompt(n)) {
-            let first = now.after(FIRST_MS + reading.to_read() / RATE);
-            slots.began(first, id, &mut reading, PROMPTLY);
-            slots.end(first, id, &reading);
-            slots.free(first, id, Some(Verdict::Fine));
+        if let Some(mut prefill) = slots.acquire(now, id, prompt(n)) {
+            let first = now.after(FIRST_MS + prefill.prefill_tokens() / RATE);
+            slots.note_first_byte(first, id, &mut prefill, PROMPTLY);
+            slots.end_prefill(first, id, &prefill);
+            slots.release(first, id, Some(Verdict::Fine));
         }
     }
 }
@@ -88,7 +88,7 @@
     let began = Instant::now();
     let mut found = 0;
     for n in 0..DECISIONS {
-        let chosen = slots.choose(Millis(1_000_000), wish(n), &mut Claims::default());
+        let chosen = slots.choose(Millis(1_000_000), criteria(n), &mut Reservations::default());
         found += u64::from(chosen.is_some());
     }
     let each = began.elapsed().as_nanos() / u128::from(DECISIONS);
@@ -121,7 +121,7 @@
     fn new(engines: u32, waiting: usize) -> Self {
         let mut scheduler = Scheduler::new(Epoch(1), Millis(0));
         fill(scheduler.slots(), engines);
-        let session = scheduler.open(Millis(0), None, &Hello::default());
+        let session = scheduler.open_session(Millis(0), None, &Hello::default());
         let mut load = Load {
             scheduler,
             session,
@@ -188,7 +188,7 @@
 
     fn began(&mut self, seq: Seq) -> Duration {
         let began = Instant::now();
-        let effects = (self.scheduler).began(self.now, self.session, seq, PROMPTLY);
+        let effects = (self.scheduler).note_first_byte(self.now, self.session, seq, PROMPTLY);
         let took = began.elapsed();
         self.note(&effects);
         took
@@ -208,7 +208,7 @@
     let mut load = Load::new(engines, waiting);
     let (mut asks, mut firsts, mut ends) = (Total::default(), Total::default(), Total::default());
     let mut streams = VecDeque::new();
-    let granted = load.scheduler.belief().granted;
+    let granted = load.scheduler.summary().granted;
     let start = load.now;
     for n in 0..EVENTS {
         load.now = start.after(u64::from(n) * EACH_MS / u64::from(engines));
@@ -228,7 +228,7 @@
         }
         load.refill(waiting);
     }
-    let granted = load.scheduler.belief().granted - granted;
+    let granted = load.scheduler.summary().granted - granted;
     println!(
         "{engines:>4} engines, {waiting:>3} waiting: {:>7} ns an ask, {:>7} ns a first byte ({}), \
          {:>7} ns an end ({}), {granted} granted",
--- a/components/coordination/src/dispatcher/local.rs
+++ b/components/coordination/src/dispatcher/local.rs
@@ -23,7 +23,9 @@
             match effect {
                 LocalEffect::Grant(_, grant) => self.use_grant(now, shard, grant, effects),
                 LocalEffect::Refuse(_, refusal) => self.use_refusal(now, shard, refusal, effects),
-                LocalEffect::Ejected(_) | LocalEffect::Restored(_) | LocalEffect::Inquire(_) => {}
+                LocalEffect::Ejected(_)
+                | LocalEffect::Restored(_)
+                | LocalEffect::RequestInventory(_) => {}
             }
         }
     }
@@ -48,7 +50,7 @@
         self.arm_local(now, view, shard);
         let session = self.sessions.get_mut(shard);
         if let Some((local, opened)) = session.and_then(|s| s.local.as_mut()) {
-            *opened = local.open(now, None, &hello);
+            *opened = local.open_session(now, None, &hello);
         }
         self.announce_all(now, shard, effects);
     }
--- a/components/coordination/src/dispatcher/mod.rs
+++ b/components/coordination/src/dispatcher/mod.rs
@@ -537,9 +537,9 @@
 pub fn set_engines(slots: &mut Slots, view: &View, shard: &Shard) {
     let service = view.config.services.get(&shard.service);
     let engine = service.and_then(|s| s.engine);
-    slots.set_memory(engine.map(|e| e.memory_tokens));
+    slots.set_memory_tokens(engine.map(|e| e.memory_tokens));
     let rate = engine.and_then(|e| e.copy_tokens_per_s);
-    slots.set_copy_rate(rate.map(u64::from));
+    slots.set_copy_tokens_per_s(rate.map(u64::from));
     slots.set_cold_rate(service.and_then(|s| s.cold).map(|cold| cold.rate));
 }
 
--- a/components/coordination/src/dispatcher/session.rs
+++ b/components/coordination/src/dispatcher/session.rs
@@ -8,7 +8,7 @@
 use crate::backoff::Backoff;
 use crate::ledger::virtual_cost;
 use crate::prelude::*;
-use crate::prompt::UNSHARED;
+use crate::prompt::UNSHARED_KEY;
 use crate::scheduler::{Scheduler, Session as LocalSession};
 use state::view::{Assignment, Shard};
 use std::collections::{BTreeMap, VecDeque};
@@ -98,7 +98,7 @@
         if prompt.tokens() == 0 {
             return;
         }
-        for part in prompt.parts().filter(|p| p.key != UNSHARED) {
+        for part in prompt.parts().filter(|p| p.key != UNSHARED_KEY) {
             let kept = Kept { endpoint, part };
             self.sent.retain(|k| *k != kept);
             self.sent.push_back(kept);
@@ -286,7 +286,7 @@
             return;
         };
         let local_session = *local_session;
-        let granted = local.take(now, local_session, report);
+        let granted = local.handle_report(now, local_session, report);
         self.use_local(now, shard, granted, effects);
     }
 
--- a/components/coordination/src/dispatcher/spread.rs
+++ b/components/coordination/src/dispatcher/spread.rs
@@ -264,7 +264,7 @@
         if order.len() < 2 {
             return order;
         }
-        let (key, tokens) = arrival.prompt.shared();
+        let (key, tokens) = arrival.prompt.shared_prefix();
         let here = order.iter().filter(|c| self.is_here(&c.shard));
         let stays = here.clone().any(|c| !state(&c.shard).is_busy);
         if tokens >= AFFINITY_TOKENS && !(stays && self.copying.contains(&arrival.service)) {
--- a/components/coordination/src/engine/clock.rs
+++ b/components/coordination/src/engine/clock.rs
@@ -108,7 +108,7 @@
 
 impl Speed {
     /// Time to read some tokens, in microseconds.
-    pub fn reading_us(self, tokens: u64) -> u64 {
+    pub fn prefill_us(self, tokens: u64) -> u64 {
         // CAST: a positive constant.
         tokens * self.0 / UNIT as u64
     }
@@ -152,7 +152,7 @@
 
     /// Time to read some tokens, in microseconds.
     pub(super) fn reading_us(&self, tokens: u64) -> u64 {
-        self.speed().reading_us(tokens)
+        self.speed().prefill_us(tokens)
     }
 
     /// Time until what was sent has been read, in microseconds.
--- a/components/coordination/src/engine/mod.rs
+++ b/components/coordination/src/engine/mod.rs
@@ -23,7 +23,7 @@
 /// from its start. Output lengths are estimates, so some room is left for those
 /// that run longer.
 const FULL_PERCENT: u64 = 85;
-/// Reading that an engine is given ahead, in hundredths of the time within which
+/// Prefill that an engine is given ahead, in hundredths of the time within which
 /// the next request is to be answered.
 ///
 /// Engines know no priorities: what was sent is read in that order. Less ahead
@@ -42,7 +42,7 @@
 /// Fewest tokens that are worth copying: fewer are read in about [`COPY_US`].
 const COPY_MIN: u64 = 1_000;
 
-/// Reading that an engine is given ahead of a request that is on time within `aim_ms`,
+/// Prefill that an engine is given ahead of a request that is on time within `aim_ms`,
 /// in milliseconds.
 pub fn ahead_ms(aim_ms: u64) -> u64 {
     (aim_ms * AHEAD_PERCENT / 100).clamp(AHEAD_MIN_MS, AHEAD_MAX_MS)
@@ -95,7 +95,7 @@
 
 /// What a request takes of an engine from its grant to its end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Reading {
+pub struct Prefill {
     prompt: Prompt,
     /// Tokens that were not kept at the grant.
     missing: u64,
@@ -107,21 +107,21 @@
     has_begun: bool,
 }
 
-impl Reading {
+impl Prefill {
     /// Engine from which a part of the prompt is to be copied.
     pub fn source(&self) -> Option<EndpointId> {
         self.source
     }
 
     /// Parts of the prompt that other requests may share.
-    pub fn shared(&self) -> impl Iterator<Item = Part> {
+    pub fn shared_parts(&self) -> impl Iterator<Item = Part> {
         let count = self.prompt.parts().count().saturating_sub(1);
         let parts: SmallVec<[Part; 4]> = self.prompt.parts().take(count).collect();
         parts.into_iter()
     }
 
     /// Tokens that the engine has to read.
-    pub fn to_read(&self) -> u64 {
+    pub fn prefill_tokens(&self) -> u64 {
         self.missing - self.copied
     }
 
@@ -129,7 +129,7 @@
     pub fn basis(&self) -> Basis {
         let tokens = |n: u64| u32::try_from(n).unwrap_or(u32::MAX);
         Basis {
-            to_read: tokens(self.to_read()),
+            to_read: tokens(self.prefill_tokens()),
             ahead_ms: tokens(self.expected.ahead_us / 1000),
             first_ms: tokens(self.expected.first_us / 1000),
         }
@@ -144,7 +144,7 @@
     /// Tokens of the prompt that it has read.
     pub tokens: u64,
     /// Tokens that are copied in a second.
-    pub rate: u64,
+    pub tokens_per_s: u64,
 }
 
 impl Source {
@@ -162,7 +162,7 @@
     pub fn copying_us(&self, tokens: u64) -> u64 {
         match tokens {
             0 => 0,
-            _ => COPY_US + tokens * 1_000_000 / self.rate.max(1),
+            _ => COPY_US + tokens * 1_000_000 / self.tokens_per_s.max(1),
         }
     }
 }
@@ -202,12 +202,12 @@
     }
 
     /// Changes the size of its memory.
-    pub fn set_memory(&mut self, memory: u64) {
+    pub fn set_memory_tokens(&mut self, memory: u64) {
         self.memory = memory;
     }
 
     /// Tokens of a prompt that it would have to read.
-    pub fn missing(&self, prompt: &Prompt) -> u64 {
+    pub fn uncached_tokens(&self, prompt: &Prompt) -> u64 {
         let kept: u64 = (prompt.parts())
             .take_while(|p| self.kept.contains_key(&p.key))
             .map(|p| u64::from(p.tokens))
@@ -216,7 +216,7 @@
     }
 
     /// Tokens of a prompt, from its start, that others can copy from it.
-    pub fn has_read(&self, prompt: &Prompt) -> u64 {
+    pub fn copyable_tokens(&self, prompt: &Prompt) -> u64 {
         (prompt.parts())
             .take_while(|p| self.kept.get(&p.key).is_some_and(|k| k.is_read))
             .map(|p| u64::from(p.tokens))
@@ -265,7 +265,7 @@
         let stray = if missing == prompt.tokens() {
             // Every scheduler, and every router that has lost it, would choose
             // the same engine for a part that none is known to have.
-            missing * (mix(u64::from(prompt.first()) << 32 | u64::from(id.0)) % 1024) / 4096
+            missing * (mix(u64::from(prompt.first_key()) << 32 | u64::from(id.0)) % 1024) / 4096
         } else {
             0
         };
@@ -274,7 +274,7 @@
     }
 
     /// Tokens of prompts without a first event.
-    pub fn unread(&self) -> u64 {
+    pub fn pending_tokens(&self) -> u64 {
         self.clock.unread()
     }
 
@@ -284,7 +284,7 @@
     }
 
     /// Time to read some tokens, in microseconds.
-    pub fn reading_us(&self, tokens: u64) -> u64 {
+    pub fn prefill_us(&self, tokens: u64) -> u64 {
         self.clock.reading_us(tokens)
     }
 
@@ -315,11 +315,11 @@
         prompt: Prompt,
         source: Option<Source>,
         changes: &mut Changes,
-    ) -> Reading {
-        let missing = self.missing(&prompt);
+    ) -> Prefill {
+        let missing = self.uncached_tokens(&prompt);
         let copied = source.map_or(0, |s| s.gain(&prompt, missing));
         let copying_us = source.map_or(0, |s| s.copying_us(copied));
-        let reading = Reading {
+        let reading = Prefill {
             prompt,
             missing,
             copied,
@@ -356,13 +356,13 @@
     }
 
     /// Forgets what it was sent and has kept: it has started again.
-    pub fn forget(&mut self, changes: &mut Changes) {
+    pub fn reset(&mut self, changes: &mut Changes) {
         changes.extend(self.keys().map(Change::Lost));
         *self = Engine::new(self.memory);
     }
 
     /// Learns from someone else that it has a part of a prompt.
-    pub fn learn(&mut self, now: Millis, part: Part, changes: &mut Changes) {
+    pub fn note_cached(&mut self, now: Millis, part: Part, changes: &mut Changes) {
         let kept = self.kept.entry(part.key);
         kept.or_insert_with(|| {
             self.kept_tokens += u64::from(part.tokens);
@@ -379,7 +379,7 @@
     }
 
     /// Notes a request's first token, `took_ms` after its grant: its prompt has been read.
-    pub fn began(&mut self, now: Millis, reading: &mut Reading, took_ms: Option<u32>) {
+    pub fn note_first_byte(&mut self, now: Millis, reading: &mut Prefill, took_ms: Option<u32>) {
         if std::mem::replace(&mut reading.has_begun, true) {
             return;
         }
@@ -402,7 +402,7 @@
     ///
     /// A prompt of which no token came may never have been read: what it was to
     /// bring is forgotten, or later requests would be sent here for nothing.
-    pub fn end(&mut self, now: Millis, reading: &Reading, changes: &mut Changes) {
+    pub fn end(&mut self, now: Millis, reading: &Prefill, changes: &mut Changes) {
         self.output = (self.output).saturating_sub(u64::from(reading.prompt.output));
         if !reading.has_begun {
             self.clock.cancel(now, &reading.expected);
--- a/components/coordination/src/health.rs
+++ b/components/coordination/src/health.rs
@@ -3,9 +3,9 @@
 use state::clock::Millis;
 
 /// Failures in a row that eject an endpoint.
-pub const FAILURES: u32 = 3;
+pub const EJECT_FAILURES: u32 = 3;
 /// First ejection, in milliseconds.
-pub const EJECT_MS: u64 = 1000;
+pub const EJECT_MIN_MS: u64 = 1000;
 /// Longest ejection, in milliseconds.
 pub const EJECT_MAX_MS: u64 = 30_000;
 
@@ -42,12 +42,12 @@
     }
 
     /// When an ejected endpoint may be probed.
-    pub fn until(&self) -> Option<Millis> {
+    pub fn ejected_until(&self) -> Option<Millis> {
         self.until
     }
 
     /// Counts a request that ended well.
-    pub fn fine(&mut self) -> Change {
+    pub fn record_success(&mut self) -> Change {
         let was = self.until.is_some();
         *self = Health::default();
         if was {
@@ -58,13 +58,13 @@
     }
 
     /// Counts a request that failed.
-    pub fn failed(&mut self, now: Millis) -> Change {
+    pub fn record_failure(&mut self, now: Millis) -> Change {
         self.failures += 1;
         let probing = self.until.is_some_and(|until| now >= until);
-        if !probing && (self.failures < FAILURES || self.until.is_some()) {
+        if !probing && (self.failures < EJECT_FAILURES || self.until.is_some()) {
             return Change::None;
         }
-        let longer = EJECT_MS << self.ejections.min(8);
+        let longer = EJECT_MIN_MS << self.ejections.min(8);
         self.until = Some(now.after(longer.min(EJECT_MAX_MS)));
         self.ejections += 1;
         Change::Ejected
--- a/components/coordination/src/ledger.rs
+++ b/components/coordination/src/ledger.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Virtual units for one unit of cost at weight 1.
-pub const SCALE: u64 = 1000;
+pub const VIRTUAL_PER_COST: u64 = 1000;
 
 /// One customer's account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -39,7 +39,7 @@
 
 /// Virtual service of `cost` units at `weight`.
 pub fn virtual_cost(cost: u32, weight: u32) -> u64 {
-    u64::from(cost) * SCALE / u64::from(weight.max(1))
+    u64::from(cost) * VIRTUAL_PER_COST / u64::from(weight.max(1))
 }
 
 impl Ledger {
@@ -59,7 +59,7 @@
     }
 
     /// Backlogged customers, least served first.
-    pub fn waiting(&self) -> impl Iterator<Item = CustomerId> + '_ {
+    pub fn backlogged(&self) -> impl Iterator<Item = CustomerId> + '_ {
         self.order.iter().map(|(_, customer)| *customer)
     }
 
@@ -67,7 +67,7 @@
     ///
     /// Settled service only grows, so the largest memory is the latest one,
     /// and merging the same memory twice changes nothing.
-    pub fn remember(&mut self, customer: CustomerId, settled: u64) {
+    pub fn restore(&mut self, customer: CustomerId, settled: u64) {
         self.change(customer, |a| a.settled = a.settled.max(settled));
     }
 
@@ -77,7 +77,7 @@
     /// estimate, and whoever starts at a level that is taken back later would
     /// wait for all others to reach it again.
     pub fn floor(&self) -> u64 {
-        let waiting = self.waiting().map(|customer| self.settled(customer));
+        let waiting = self.backlogged().map(|customer| self.settled(customer));
         waiting.min().unwrap_or(self.floor)
     }
 
@@ -89,7 +89,7 @@
     pub fn open(&mut self, floor: u64) {
         self.open = true;
         self.floor = self.floor.max(floor);
-        let waiting: Vec<CustomerId> = self.waiting().collect();
+        let waiting: Vec<CustomerId> = self.backlogged().collect();
         for customer in waiting {
             self.lift(customer, floor);
         }
--- a/components/coordination/src/limit.rs
+++ b/components/coordination/src/limit.rs
@@ -29,7 +29,7 @@
     }
 
     /// Whether a start is allowed now.
-    pub fn ready(&mut self, now: Millis) -> bool {
+    pub fn has_token(&mut self, now: Millis) -> bool {
         self.fill(now);
         self.tokens >= 1000
     }
@@ -41,7 +41,7 @@
     }
 
     /// Gives one start back that was not used.
-    pub fn give_back(&mut self) {
+    pub fn refund(&mut self) {
         self.tokens = (self.tokens + 1000).min(u64::from(self.rate) * 1000);
     }
 
@@ -54,16 +54,16 @@
 
 /// A bound on how often something is done in each second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ceiling {
+pub struct Window {
     most: u64,
     second: u64,
     done: u64,
 }
 
-impl Ceiling {
+impl Window {
     /// A bound of `most` times a second.
     pub fn new(most: u64) -> Self {
-        Ceiling {
+        Window {
             most,
             second: 0,
             done: 0,
--- a/components/coordination/src/prompt.rs
+++ b/components/coordination/src/prompt.rs
@@ -6,10 +6,10 @@
 ///
 /// Prompts have two or three shared parts and one of their own. A bound makes
 /// an ask small and of one size.
-pub const PARTS: usize = 4;
+pub const MAX_PARTS: usize = 4;
 
 /// Key of a part that nobody shares. What is kept of it is never of use.
-pub const UNSHARED: u32 = u32::MAX;
+pub const UNSHARED_KEY: u32 = u32::MAX;
 
 /// A part of a prompt that endpoints may have kept from an earlier request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -34,7 +34,7 @@
 /// A prompt, as parts in order, and what it is expected to bring.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prompt {
-    parts: [Part; PARTS],
+    parts: [Part; MAX_PARTS],
     /// Tokens that are expected to be generated.
     pub output: u32,
 }
@@ -50,7 +50,7 @@
             ..Prompt::default()
         };
         for (n, (id, tokens)) in parts.into_iter().enumerate() {
-            let part = &mut prompt.parts[n.min(PARTS - 1)];
+            let part = &mut prompt.parts[n.min(MAX_PARTS - 1)];
             // What follows the last part that is told is one with it.
             part.key = chain(part.key, id);
             part.tokens = part.tokens.saturating_add(tokens);
@@ -59,20 +59,20 @@
     }
 
     /// A prompt that shares nothing with others.
-    pub fn alone(tokens: u32, output: u32) -> Self {
+    pub fn unshared(tokens: u32, output: u32) -> Self {
         let mut prompt = Prompt {
             output,
             ..Prompt::default()
         };
         prompt.parts[0] = Part {
-            key: UNSHARED,
+            key: UNSHARED_KEY,
             tokens,
         };
         prompt
     }
 
     /// A prompt of which only a hash of its start is known.
-    pub fn of_prefix(key: u32) -> Self {
+    pub fn from_prefix_key(key: u32) -> Self {
         let mut prompt = Prompt::default();
         prompt.parts[0].key = key;
         prompt
@@ -84,13 +84,13 @@
     }
 
     /// Key of its first part, 0 if nothing is known of it.
-    pub fn first(&self) -> u32 {
+    pub fn first_key(&self) -> u32 {
         self.parts[0].key
     }
 
     /// Key of its last part that other requests may share, 0 for none, and the tokens up to
     /// its end: the last part of all is a request's own, or its session's.
-    pub fn shared(&self) -> (u32, u64) {
+    pub fn shared_prefix(&self) -> (u32, u64) {
         let count = self.parts().count();
         let shared = || self.parts().take(count.saturating_sub(1));
         let tokens = shared().map(|p| u64::from(p.tokens)).sum();
--- a/components/coordination/src/reliability.rs
+++ b/components/coordination/src/reliability.rs
@@ -23,20 +23,20 @@
 
 impl Reliability {
     /// Counts an outcome.
-    pub fn note(&mut self, now: Millis, has_failed: bool) {
+    pub fn record(&mut self, now: Millis, has_failed: bool) {
         let latest = if has_failed { 1000 } else { 0 };
-        self.failed = (self.failed(now) * (MEMORY - 1) + latest) / MEMORY;
+        self.failed = (self.failure_permille(now) * (MEMORY - 1) + latest) / MEMORY;
         self.at = now;
     }
 
     /// When the share next falls without an outcome; `None` if nothing has failed.
-    pub fn falls(&self, now: Millis) -> Option<Millis> {
+    pub fn next_decay(&self, now: Millis) -> Option<Millis> {
         let halvings = now.since(self.at) / HALF_MS + 1;
-        (self.failed(now) > 0).then(|| self.at.after(halvings * HALF_MS))
+        (self.failure_permille(now) > 0).then(|| self.at.after(halvings * HALF_MS))
     }
 
     /// Share of failures, in thousandths.
-    pub fn failed(&self, now: Millis) -> u64 {
+    pub fn failure_permille(&self, now: Millis) -> u64 {
         let halvings = now.since(self.at) / HALF_MS;
         self.failed >> halvings.min(63)
     }
--- a/components/coordination/src/scheduler/kept.rs
+++ b/components/coordination/src/scheduler/kept.rs
@@ -31,7 +31,7 @@
         let Some((endpoint, reading)) = running.and_then(|r| Some((r.endpoint, r.reading?))) else {
             return;
         };
-        for part in reading.shared() {
+        for part in reading.shared_parts() {
             let known = self.telling.known.get(&part.key);
             if known.is_some_and(|k| self.slots.has_read(k.endpoint, part.key)) {
                 continue;
@@ -46,18 +46,18 @@
     }
 
     /// Parts that engines here have come to keep since the last telling.
-    pub fn tell_kept(&mut self) -> Vec<Kept> {
+    pub fn take_new_cached(&mut self) -> Vec<Kept> {
         let rest = self.telling.fresh.len().min(TOLD);
         self.telling.fresh.drain(..rest).collect()
     }
 
     /// All parts that were told, for a scheduler that has just begun.
-    pub fn all_kept(&self) -> Vec<Kept> {
+    pub fn all_cached(&self) -> Vec<Kept> {
         self.telling.known.values().copied().collect()
     }
 
     /// Takes what engines of another scheduler keep.
-    pub fn hear_kept(&mut self, kept: &[Kept]) {
+    pub fn merge_cached(&mut self, kept: &[Kept]) {
         for kept in kept {
             self.slots.learn_foreign(kept.part.key, kept.endpoint);
         }
--- a/components/coordination/src/scheduler/late.rs
+++ b/components/coordination/src/scheduler/late.rs
@@ -92,6 +92,6 @@
 /// would see most of what is served come late, and as much be refused.
 fn late_answer(slots: &mut Slots, now: Millis, key: Key, waiting: &Waiting) -> Option<u64> {
     let slack_ms = waiting.slack_ms(now);
-    let soonest_ms = slots.soonest_ms(now, &waiting.wish(now, key.0, true))?;
+    let soonest_ms = slots.soonest_ms(now, &waiting.criteria(now, key.0, true))?;
     (soonest_ms > slack_ms).then_some(soonest_ms)
 }
--- a/components/coordination/src/scheduler/mod.rs
+++ b/components/coordination/src/scheduler/mod.rs
@@ -11,7 +11,7 @@
 mod settled;
 mod share;
 
-pub use self::share::Share;
+pub use self::share::Usage;
 
 use self::kept::Telling;
 use self::next::Next;
@@ -20,13 +20,13 @@
 use self::settled::Settled;
 use self::share::Shares;
 use crate::ask::{Basis, Hello, Seq, Served};
-use crate::engine::Reading;
+use crate::engine::Prefill;
 use crate::health;
 use crate::ledger::{virtual_cost, Ledger};
 use crate::limit::Bucket;
 use crate::prelude::*;
 use crate::prompt::Part;
-use crate::slot::{Choice, Slots};
+use crate::slot::{Slots, Strategy};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// How long a new scheduler gathers sessions before its first grant, in
@@ -67,7 +67,7 @@
     /// Tell the router of the session that an ask cannot be served in time.
     Refuse(Session, Refusal),
     /// Ask this engine what it has kept of prompts.
-    Inquire(EndpointId),
+    RequestInventory(EndpointId),
     /// An endpoint was ejected.
     Ejected(EndpointId),
     /// An ejected endpoint is back.
@@ -91,14 +91,14 @@
     endpoint: EndpointId,
     charged: u32,
     /// What it takes of a model engine; unknown if another scheduler granted it.
-    reading: Option<Reading>,
+    reading: Option<Prefill>,
     /// When silence of its endpoint counts as a failure, until its first byte.
     silent_at: Option<Millis>,
 }
 
 /// What a scheduler believes of its shard.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Belief {
+pub struct Summary {
     /// Asks that wait.
     pub waiting: usize,
     /// Requests in progress.
@@ -106,13 +106,13 @@
     /// Customers with asks that wait.
     pub customers: usize,
     /// Prompt tokens that engines have yet to read.
-    pub unread: u64,
+    pub unread_tokens: u64,
     /// Tokens that the slowest engine reads in a second.
-    pub slowest: u64,
+    pub slowest_tokens_per_s: u64,
     /// Tokens that the fastest engine reads in a second.
-    pub fastest: u64,
+    pub fastest_tokens_per_s: u64,
     /// Cost that is started in a second while work waits.
-    pub pace: u64,
+    pub cost_per_s: u64,
     /// Asks refused in this epoch.
     pub refused: u64,
     /// Grants given in this epoch.
@@ -172,11 +172,11 @@
 impl Scheduler {
     /// A scheduler whose epoch begins now.
     pub fn new(epoch: Epoch, now: Millis) -> Self {
-        Scheduler::with_choice(epoch, now, Choice::Least)
+        Scheduler::with_strategy(epoch, now, Strategy::LeastLoaded)
     }
 
     /// A scheduler that chooses endpoints by `choice`, for comparison.
-    pub fn with_choice(epoch: Epoch, now: Millis, choice: Choice) -> Self {
+    pub fn with_strategy(epoch: Epoch, now: Millis, choice: Strategy) -> Self {
         Scheduler {
             epoch,
             ledger: Ledger::default(),
@@ -232,16 +232,17 @@
     }
 
     /// What it has come to believe, for logs and metrics.
-    pub fn belief(&self) -> Belief {
-        let (unread, slowest, fastest) = self.slots.reading();
-        Belief {
+    pub fn summary(&self) -> Summary {
+        let (unread_tokens, slowest_tokens_per_s, fastest_tokens_per_s) =
+            self.slots.prefill_totals();
+        Summary {
             waiting: self.waiting(),
             running: self.running.len(),
             customers: self.queue.customers().count(),
-            unread,
-            slowest,
-            fastest,
-            pace: self.pace.per_second(),
+            unread_tokens,
+            slowest_tokens_per_s,
+            fastest_tokens_per_s,
+            cost_per_s: self.pace.per_second(),
             refused: self.refused,
             granted: self.granted,
         }
@@ -266,25 +267,25 @@
     ///
     /// The hello says what is still in progress; whatever else the earlier
     /// session held has ended, or has died with an earlier life of the router.
-    pub fn open(&mut self, now: Millis, older: Option<Session>, hello: &Hello) -> Session {
+    pub fn open_session(&mut self, now: Millis, older: Option<Session>, hello: &Hello) -> Session {
         self.floor = self.floor.max(hello.floor);
         if let Some(older) = older {
             // A hello that is said again tells the same spending again.
             self.spent.remove(&older);
-            self.close(now, older);
+            self.close_session(now, older);
             self.drop_running(now, older);
         }
         let session = Session(self.next);
         self.next += 1;
         self.sessions.insert(session);
         for kept in &hello.kept {
-            self.slots.learn(now, kept.endpoint, kept.part);
+            self.slots.note_cached(now, kept.endpoint, kept.part);
         }
         for backoff in &hello.backoff {
-            self.slots.close(now, session.0, backoff);
+            self.slots.back_off(now, session.0, backoff);
         }
         for known in &hello.known {
-            self.ledger.remember(known.customer, known.level);
+            self.ledger.restore(known.customer, known.level);
         }
         let spent = self.settled.open(older, session, hello);
         self.spent.insert(session, spent);
@@ -297,7 +298,7 @@
                 reading: None,
                 silent_at: None,
             };
-            self.slots.hold(now, held.endpoint);
+            self.slots.adopt(now, held.endpoint);
             let amount = virtual_cost(held.cost, held.weight);
             self.ledger.charge(held.class.customer, amount);
             self.class(now, held.class).running += 1;
@@ -313,7 +314,7 @@
     /// them. Done for each ask, first byte and end, it may take all of a small VM's share
     /// of a core, and requests wait for the scheduler instead of engines. In batches
     /// the cost of an event falls as load rises.
-    pub fn batch(&mut self) {
+    pub fn enable_batching(&mut self) {
         self.is_batched = true;
     }
 
@@ -331,13 +332,13 @@
     }
 
     /// Lets it ask engines what they have kept, where no router has told.
-    pub fn allow_inquiry(&mut self) {
+    pub fn enable_inventory_requests(&mut self) {
         self.may_inquire = true;
     }
 
     /// Takes what an engine has kept, nothing if it did not tell, and when it says
     /// that it started, in Unix milliseconds.
-    pub fn learn(
+    pub fn note_inventory(
         &mut self,
         now: Millis,
         endpoint: EndpointId,
@@ -346,15 +347,15 @@
     ) -> Effects {
         if self.slots.note_start(endpoint, born) {
             for part in parts {
-                self.slots.learn(now, endpoint, *part);
+                self.slots.note_cached(now, endpoint, *part);
             }
         }
         self.inquired.remove(&endpoint);
         self.grant(now)
     }
 
-    /// Takes a report of an open session. A hello is for [`Scheduler::open`].
-    pub fn take(&mut self, now: Millis, session: Session, report: Report) -> Effects {
+    /// Takes a report of an open session. A hello is for [`Scheduler::open_session`].
+    pub fn handle_report(&mut self, now: Millis, session: Session, report: Report) -> Effects {
         match report {
             Report::Hello(_) => Effects::new(),
             Report::Ask(ask) => self.ask(now, session, ask),
@@ -363,25 +364,25 @@
                 Effects::new()
             }
             Report::Return(seq) => self.give_back(now, session, seq),
-            Report::Began(seq, took_ms) => self.began(now, session, seq, took_ms),
+            Report::Began(seq, took_ms) => self.note_first_byte(now, session, seq, took_ms),
             Report::Progress(seq, cost) => {
                 self.progress(session, seq, cost);
                 Effects::new()
             }
             Report::Done(seq, cost, verdict) => self.done(now, session, seq, cost, verdict),
             Report::Backoff(backoff) => {
-                self.slots.close(now, session.0, &backoff);
+                self.slots.back_off(now, session.0, &backoff);
                 Effects::new()
             }
         }
     }
 
     /// Ends a session whose link was lost; its requests count for a while more.
-    pub fn close(&mut self, now: Millis, session: Session) {
+    pub fn close_session(&mut self, now: Millis, session: Session) {
         if !self.sessions.remove(&session) {
             return;
         }
-        self.slots.reopen(session.0);
+        self.slots.clear_backoff(session.0);
         self.remotes.retain(|((of, _), _)| *of != session);
         for seq in self.queue.of_session(session) {
             self.withdraw(session, seq);
@@ -420,7 +421,7 @@
     pub fn give_back(&mut self, now: Millis, session: Session, seq: Seq) -> Effects {
         if let Some((running, _)) = self.end(now, session, seq, 0, None) {
             if let Some(bucket) = self.class(now, running.class).bucket.as_mut() {
-                bucket.give_back();
+                bucket.refund();
             }
         }
         self.grant(now)
@@ -428,7 +429,7 @@
 
     /// Notes the first byte of an answer: an engine has read the prompt, and may
     /// be given the next one. It came `took_ms` after the grant reached its router.
-    pub fn began(
+    pub fn note_first_byte(
         &mut self,
         now: Millis,
         session: Session,
@@ -438,7 +439,8 @@
         if let Some(running) = self.running.get_mut(&(session, seq)) {
             running.silent_at = None;
             if let Some(reading) = &mut running.reading {
-                self.slots.began(now, running.endpoint, reading, took_ms);
+                self.slots
+                    .note_first_byte(now, running.endpoint, reading, took_ms);
             }
         }
         self.note_read(session, seq);
@@ -482,7 +484,7 @@
                 effects.push(Effect::Restored(running.endpoint));
                 // It may have started again, and have kept nothing.
                 if self.may_inquire && running.reading.is_some() {
-                    effects.push(Effect::Inquire(running.endpoint));
+                    effects.push(Effect::RequestInventory(running.endpoint));
                 }
             }
             health::Change::None => {}
@@ -494,7 +496,7 @@
     /// Service given here in this epoch, by customer, to tell other regions:
     /// totals that have grown since the last telling, and at times all of them,
     /// in case one was lost.
-    pub fn tell_served(&mut self) -> Served {
+    pub fn take_served(&mut self) -> Served {
         let grown = std::mem::take(&mut self.grown);
         let all = self.tellings.is_multiple_of(TELL_ALL);
         self.tellings = self.tellings.wrapping_add(1);
@@ -510,7 +512,7 @@
     ///
     /// The first telling of all totals of an epoch only sets where counting begins:
     /// what it gave before was counted by whoever scheduled here then.
-    pub fn hear_served(&mut self, served: &Served) {
+    pub fn merge_served(&mut self, served: &Served) {
         let known = self.foreign.contains_key(&served.epoch);
         if !known && !served.all {
             return;
@@ -579,7 +581,7 @@
         if !self.inquired.is_empty() && now < self.opened.after(INQUIRY_MS) {
             return effects;
         }
-        while self.slots.any_free(now) {
+        while self.slots.has_free_slot(now) {
             let Some(next) = self.next(now) else {
                 break;
             };
@@ -597,14 +599,14 @@
             return;
         }
         self.inquired = self.slots.unknown(now).into_iter().collect();
-        effects.extend(self.inquired.iter().copied().map(Effect::Inquire));
+        effects.extend(self.inquired.iter().copied().map(Effect::RequestInventory));
     }
 
     fn start(&mut self, now: Millis, next: Next) -> Effect {
         let Next { key, ask, endpoint } = next;
         let reading = self
             .slots
-            .take_with(now, endpoint, ask.prompt, ask.avoid.is_none());
+            .acquire_with(now, endpoint, ask.prompt, ask.avoid.is_none());
         let customer = ask.class.customer;
         self.pace.start(ask.hint);
         self.granted += 1;
@@ -670,9 +672,9 @@
         self.ledger.settle(running.class.customer, charged, amount);
         *self.served.entry(running.class.customer).or_default() += amount;
         self.grown.insert(running.class.customer);
-        let change = self.slots.free(now, running.endpoint, verdict);
+        let change = self.slots.release(now, running.endpoint, verdict);
         if let Some(reading) = &running.reading {
-            self.slots.end(now, running.endpoint, reading);
+            self.slots.end_prefill(now, running.endpoint, reading);
         }
         let class = self.class(now, running.class);
         class.running = class.running.saturating_sub(1);
--- a/components/coordination/src/scheduler/next.rs
+++ b/components/coordination/src/scheduler/next.rs
@@ -3,7 +3,7 @@
 use super::queue::Key;
 use super::Scheduler;
 use crate::prelude::*;
-use crate::slot::{Claims, Wish};
+use crate::slot::{Criteria, Reservations};
 
 /// Asks that are looked at for one grant. Those behind them wait anyway, and each
 /// costs a look at some tens of engines.
@@ -41,7 +41,7 @@
         if !self.may_grant(now) {
             return None;
         }
-        let mut claims = Claims::default();
+        let mut claims = Reservations::default();
         let is_pressed = self.pace.is_pressed(now);
         let in_time = self.next_own(now, is_pressed, &mut claims);
         if in_time.is_some() {
@@ -71,8 +71,13 @@
     /// The oldest asks of a customer that floods cannot start: they are late everywhere, or
     /// wait for their engine. If each of them lost it the turn, a customer that asks for most
     /// would get least.
-    fn next_own(&mut self, now: Millis, only_in_time: bool, claims: &mut Claims) -> Option<Next> {
-        let customers: SmallVec<[CustomerId; 32]> = self.ledger.waiting().collect();
+    fn next_own(
+        &mut self,
+        now: Millis,
+        only_in_time: bool,
+        claims: &mut Reservations,
+    ) -> Option<Next> {
+        let customers: SmallVec<[CustomerId; 32]> = self.ledger.backlogged().collect();
         let (first, _) = customers.split_first()?;
         let mut looked = 0;
         for n in 0..TURN {
@@ -111,17 +116,17 @@
         customer: CustomerId,
         n: usize,
         only_in_time: bool,
-        claims: &mut Claims,
+        claims: &mut Reservations,
     ) -> Look {
         let Some((key, waiting)) = self.queue.of(customer).nth(n) else {
             return Look::Missing;
         };
         let ask = waiting.ask;
-        let wish = waiting.wish(now, key.0, only_in_time);
+        let criteria = waiting.criteria(now, key.0, only_in_time);
         if !self.may_start(now, &ask) {
             return Look::Wait;
         }
-        match self.slots.choose(now, wish, claims) {
+        match self.slots.choose(now, criteria, claims) {
             Some(endpoint) => Look::Start(Next { key, ask, endpoint }),
             None => Look::Wait,
         }
@@ -131,7 +136,7 @@
     pub(super) fn may_start(&mut self, now: Millis, ask: &Ask) -> bool {
         let class = self.class(now, ask.class);
         let full = ask.concurrency != 0 && class.running >= ask.concurrency;
-        !full && class.bucket.as_mut().is_none_or(|b| b.ready(now))
+        !full && class.bucket.as_mut().is_none_or(|b| b.has_token(now))
     }
 
     /// The remote ask to serve next, once nobody of this region can start: of the
@@ -140,15 +145,17 @@
         let first = self.remotes.iter().take(REMOTES);
         let level = |(_, ask): &&(Key, Ask)| self.ledger.level(ask.class.customer);
         let (key, ask) = first.min_by_key(level).copied()?;
-        let wish = Wish {
-            asker: Some(key.0 .0),
+        let criteria = Criteria {
+            session: Some(key.0 .0),
             prompt: ask.prompt,
             avoid: ask.avoid,
             aim_ms: u64::from(ask.aim_ms),
             slack_ms: 0,
             only_in_time: false,
         };
-        let endpoint = self.slots.choose(now, wish, &mut Claims::default())?;
+        let endpoint = self
+            .slots
+            .choose(now, criteria, &mut Reservations::default())?;
         Some(Next { key, ask, endpoint })
     }
 }
--- a/components/coordination/src/scheduler/queue.rs
+++ b/components/coordination/src/scheduler/queue.rs
@@ -3,7 +3,7 @@
 use super::Session;
 use crate::ask::Seq;
 use crate::prelude::*;
-use crate::slot::Wish;
+use crate::slot::Criteria;
 use std::collections::btree_map::{BTreeMap, Entry};
 
 /// Part of the time to its aim for which an ask may be expected to wait, in
@@ -41,9 +41,9 @@
     }
 
     /// What it looks for in an endpoint; with `only_in_time`, one that answers in time.
-    pub(super) fn wish(&self, now: Millis, of: Session, only_in_time: bool) -> Wish {
-        Wish {
-            asker: Some(of.0),
+    pub(super) fn criteria(&self, now: Millis, of: Session, only_in_time: bool) -> Criteria {
+        Criteria {
+            session: Some(of.0),
             prompt: self.ask.prompt,
             avoid: self.ask.avoid,
             aim_ms: u64::from(self.ask.aim_ms),
--- a/components/coordination/src/slot/keeper.rs
+++ b/components/coordination/src/slot/keeper.rs
@@ -3,7 +3,7 @@
 use super::table::Place;
 use crate::engine::{Change, Mixed};
 use crate::prelude::*;
-use crate::prompt::PARTS;
+use crate::prompt::MAX_PARTS;
 use std::collections::HashMap;
 use std::hash::BuildHasherDefault;
 
@@ -185,7 +185,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Shares<'a> {
     /// Keepers of each part, and the tokens up to its end.
-    steps: SmallVec<[(&'a Keepers, u64); PARTS]>,
+    steps: SmallVec<[(&'a Keepers, u64); MAX_PARTS]>,
     /// Tokens of the prompt.
     tokens: u64,
 }
@@ -204,7 +204,7 @@
 
     /// Tokens that an engine would have to read which keeps no part, the first part,
     /// the first two, and so on.
-    pub(super) fn missing(&self) -> SmallVec<[u64; PARTS + 1]> {
+    pub(super) fn missing(&self) -> SmallVec<[u64; MAX_PARTS + 1]> {
         let kept = self.steps.iter().map(|(_, tokens)| *tokens);
         let kept = std::iter::once(0).chain(kept);
         kept.map(|kept| self.tokens - kept).collect()
--- a/components/coordination/src/slot/mod.rs
+++ b/components/coordination/src/slot/mod.rs
@@ -6,19 +6,19 @@
 mod place;
 mod table;
 
-pub use self::place::Claims;
+pub use self::place::Reservations;
 
 use self::foreign::Foreign;
 use self::keeper::Parts;
 use self::order::Order;
 use self::table::{Place, Table};
 use crate::backoff::Backoff;
-use crate::engine::{Changes, Engine, Reading};
+use crate::engine::{Changes, Engine, Prefill};
 use crate::health::{Change, Health};
 use crate::prelude::*;
 use crate::prompt::Part;
-use crate::ramp::Ramp;
 use crate::reliability::Reliability;
+use crate::warmup::Pacer;
 use std::collections::{BTreeMap, VecDeque};
 
 /// How far back a load report may lag, in milliseconds.
@@ -56,14 +56,14 @@
     /// When it was last granted a request here.
     granted: Option<Millis>,
     /// At which rate it is granted requests, while it is cold.
-    ramp: Option<Ramp>,
+    ramp: Option<Pacer>,
 }
 
 /// What to look for in an endpoint.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish {
+pub struct Criteria {
     /// Session of the router that asks, if one does.
-    pub asker: Option<u32>,
+    pub session: Option<u32>,
     /// What is known of the prompt.
     pub prompt: Prompt,
     /// Endpoint to avoid, if another is free.
@@ -78,9 +78,9 @@
 
 /// How to choose among free endpoints; all but the first are baselines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
+pub enum Strategy {
     /// Least loaded, then the one that has seen the prefix.
-    Least,
+    LeastLoaded,
     /// The next one in turn.
     RoundRobin,
     /// Any, by a hash of the count of choices.
@@ -103,19 +103,19 @@
     /// Requests that a cold endpoint is granted, in thousandths a second; `None` for no
     /// bound.
     cold_rate: Option<u32>,
-    choice: Choice,
+    choice: Strategy,
     turn: u64,
 }
 
 impl Default for Slots {
     fn default() -> Self {
-        Slots::new(Choice::Least)
+        Slots::new(Strategy::LeastLoaded)
     }
 }
 
 impl Slots {
     /// No endpoints yet, chosen by `choice`.
-    pub fn new(choice: Choice) -> Self {
+    pub fn new(choice: Strategy) -> Self {
         Slots {
             all: Table::default(),
             parts: Parts::default(),
@@ -131,13 +131,13 @@
 
     /// Sets the memory in tokens of all endpoints that are set from now on;
     /// `None` if they are no model engines.
-    pub fn set_memory(&mut self, memory: Option<u64>) {
+    pub fn set_memory_tokens(&mut self, memory: Option<u64>) {
         self.memory = memory;
     }
 
     /// Sets how many tokens an engine copies from another one in a second; `None`
     /// if engines cannot.
-    pub fn set_copy_rate(&mut self, rate: Option<u64>) {
+    pub fn set_copy_tokens_per_s(&mut self, rate: Option<u64>) {
         self.copy_rate = rate;
     }
 
@@ -189,7 +189,7 @@
             Some(ramp) => ramp.extend(until, rate),
             None => {
                 let quiet = slot.granted.unwrap_or(now);
-                slot.ramp = Some(Ramp::new(until, rate, quiet).shifted(part));
+                slot.ramp = Some(Pacer::new(until, rate, quiet).shifted(part));
             }
         }
     }
@@ -202,12 +202,12 @@
             return;
         };
         match (self.memory, &mut slot.engine) {
-            (Some(memory), Some(engine)) => engine.set_memory(memory),
+            (Some(memory), Some(engine)) => engine.set_memory_tokens(memory),
             (Some(memory), engine @ None) => *engine = Some(Engine::new(memory)),
             (None, engine) => {
                 let mut changes = Changes::new();
                 if let Some(mut engine) = engine.take() {
-                    engine.forget(&mut changes);
+                    engine.reset(&mut changes);
                 }
                 self.parts.note(place, &changes);
             }
@@ -218,7 +218,7 @@
     }
 
     /// Takes an endpoint's word to the router of a session that it wants no requests.
-    pub fn close(&mut self, now: Millis, session: u32, backoff: &Backoff) {
+    pub fn back_off(&mut self, now: Millis, session: u32, backoff: &Backoff) {
         let Some(slot) = self.touch(backoff.endpoint) else {
             return;
         };
@@ -233,7 +233,7 @@
     }
 
     /// Forgets what endpoints have said to the router of a session that has ended.
-    pub fn reopen(&mut self, session: u32) {
+    pub fn clear_backoff(&mut self, session: u32) {
         for slot in self.all.values_mut() {
             slot.closed.remove(&session);
         }
@@ -250,7 +250,7 @@
             };
             let mut changes = Changes::new();
             if let Some(mut engine) = slot.engine {
-                engine.forget(&mut changes);
+                engine.reset(&mut changes);
             }
             self.parts.note(place, &changes);
             self.order.touch(place);
@@ -259,31 +259,36 @@
 
     /// The endpoint to which a request is best sent now; `None` if it is better
     /// off waiting, which `claims` is told of.
-    pub fn choose(&mut self, now: Millis, wish: Wish, claims: &mut Claims) -> Option<EndpointId> {
+    pub fn choose(
+        &mut self,
+        now: Millis,
+        criteria: Criteria,
+        claims: &mut Reservations,
+    ) -> Option<EndpointId> {
         if self.memory.is_some() {
-            return self.place(now, wish, claims);
+            return self.place(now, criteria, claims);
         }
-        self.best(now, wish, true)
-            .or_else(|| self.best(now, wish, false))
+        self.best(now, criteria, true)
+            .or_else(|| self.best(now, criteria, false))
     }
 
     /// Takes a slot of an endpoint for the first try of a request; gives what that
     /// takes of it, if it is a model engine.
-    pub fn take(&mut self, now: Millis, id: EndpointId, prompt: Prompt) -> Option<Reading> {
-        self.take_with(now, id, prompt, true)
+    pub fn acquire(&mut self, now: Millis, id: EndpointId, prompt: Prompt) -> Option<Prefill> {
+        self.acquire_with(now, id, prompt, true)
     }
 
     /// Takes a slot of an endpoint; `copies` says whether the engine may copy parts
     /// of the prompt from another one.
-    pub fn take_with(
+    pub fn acquire_with(
         &mut self,
         now: Millis,
         id: EndpointId,
         prompt: Prompt,
         copies: bool,
-    ) -> Option<Reading> {
+    ) -> Option<Prefill> {
         let source = copies.then(|| self.source(now, &prompt)).flatten();
-        self.hold(now, id);
+        self.adopt(now, id);
         let place = self.all.place(id)?;
         let slot = self.all.at_mut(place)?;
         slot.granted = Some(now);
@@ -291,7 +296,7 @@
             ramp.take(now);
         }
         let Some(engine) = &mut slot.engine else {
-            slot.remember(prompt.first());
+            slot.remember(prompt.first_key());
             return None;
         };
         let mut changes = Changes::new();
@@ -328,7 +333,7 @@
         slot.reliability = Reliability::default();
         let mut changes = Changes::new();
         if let Some(engine) = &mut slot.engine {
-            engine.forget(&mut changes);
+            engine.reset(&mut changes);
         }
         self.parts.note(place, &changes);
         self.order.touch(place);
@@ -336,23 +341,25 @@
     }
 
     /// Learns that an engine has a part of a prompt.
-    pub fn learn(&mut self, now: Millis, id: EndpointId, part: Part) {
-        self.change(id, |engine, changes| engine.learn(now, part, changes));
+    pub fn note_cached(&mut self, now: Millis, id: EndpointId, part: Part) {
+        self.change(id, |engine, changes| engine.note_cached(now, part, changes));
     }
 
     /// Notes the first byte of an answer of an engine, `took_ms` after its grant.
-    pub fn began(
+    pub fn note_first_byte(
         &mut self,
         now: Millis,
         id: EndpointId,
-        reading: &mut Reading,
+        reading: &mut Prefill,
         took_ms: Option<u32>,
     ) {
-        self.change(id, |engine, _| engine.began(now, reading, took_ms));
+        self.change(id, |engine, _| {
+            engine.note_first_byte(now, reading, took_ms)
+        });
     }
 
     /// Gives back what a request took of an engine.
-    pub fn end(&mut self, now: Millis, id: EndpointId, reading: &Reading) {
+    pub fn end_prefill(&mut self, now: Millis, id: EndpointId, reading: &Prefill) {
         self.change(id, |engine, changes| engine.end(now, reading, changes));
     }
 
@@ -382,7 +389,7 @@
     }
 
     /// Counts a request that is in progress already.
-    pub fn hold(&mut self, now: Millis, id: EndpointId) {
+    pub fn adopt(&mut self, now: Millis, id: EndpointId) {
         if let Some(slot) = self.touch(id) {
             slot.running += 1;
             slot.note(now);
@@ -390,21 +397,21 @@
     }
 
     /// Frees a slot; the verdict counts towards the endpoint's health.
-    pub fn free(&mut self, now: Millis, id: EndpointId, verdict: Option<Verdict>) -> Change {
+    pub fn release(&mut self, now: Millis, id: EndpointId, verdict: Option<Verdict>) -> Change {
         let Some(slot) = self.touch(id) else {
             return Change::None;
         };
         slot.running = slot.running.saturating_sub(1);
         slot.note(now);
         match verdict {
-            Some(Verdict::Fine) => slot.reliability.note(now, false),
-            Some(Verdict::Failed | Verdict::Error) => slot.reliability.note(now, true),
+            Some(Verdict::Fine) => slot.reliability.record(now, false),
+            Some(Verdict::Failed | Verdict::Error) => slot.reliability.record(now, true),
             Some(Verdict::Gone) | None => {}
         }
         match verdict {
             // It lives: whether others would do better, its reliability tells.
-            Some(Verdict::Fine | Verdict::Error) => slot.health.fine(),
-            Some(Verdict::Failed) => slot.health.failed(now),
+            Some(Verdict::Fine | Verdict::Error) => slot.health.record_success(),
+            Some(Verdict::Failed) => slot.health.record_failure(now),
             Some(Verdict::Gone) | None => Change::None,
         }
     }
@@ -412,7 +419,7 @@
     /// Notes that an endpoint has said nothing on a request for far too long.
     pub fn note_silence(&mut self, now: Millis, id: EndpointId) {
         if let Some(slot) = self.touch(id) {
-            slot.reliability.note(now, true);
+            slot.reliability.record(now, true);
         }
     }
 
@@ -420,7 +427,7 @@
     ///
     /// What it has beyond the most that we had in progress of late is someone
     /// else's work. A lagging report can thus not free or take a slot of ours.
-    pub fn report(&mut self, now: Millis, id: EndpointId, load: u32) {
+    pub fn report_load(&mut self, now: Millis, id: EndpointId, load: u32) {
         let Some(slot) = self.touch(id) else {
             return;
         };
@@ -430,12 +437,14 @@
     }
 
     /// Share of its requests that an endpoint has failed of late, in thousandths.
-    pub fn failed(&self, now: Millis, id: EndpointId) -> u64 {
-        self.all.get(id).map_or(0, |s| s.reliability.failed(now))
+    pub fn failure_permille(&self, now: Millis, id: EndpointId) -> u64 {
+        self.all
+            .get(id)
+            .map_or(0, |s| s.reliability.failure_permille(now))
     }
 
     /// Whether any endpoint has a slot free.
-    pub fn any_free(&self, now: Millis) -> bool {
+    pub fn has_free_slot(&self, now: Millis) -> bool {
         self.all.values().any(|s| s.room(now) > 0)
     }
 
@@ -455,11 +464,11 @@
 
     /// Tokens that all engines have yet to read, and the slowest and the fastest
     /// rate at which one reads, in tokens a second.
-    pub fn reading(&self) -> (u64, u64, u64) {
+    pub fn prefill_totals(&self) -> (u64, u64, u64) {
         let engines = || self.all.values().filter_map(|s| s.engine.as_ref());
         let rates = || engines().map(Engine::rate);
         (
-            engines().map(Engine::unread).sum(),
+            engines().map(Engine::pending_tokens).sum(),
             rates().min().unwrap_or(0),
             rates().max().unwrap_or(0),
         )
@@ -467,20 +476,23 @@
 
     /// When an ejected endpoint may next be probed.
     pub fn next_probe(&self) -> Option<Millis> {
-        self.all.values().filter_map(|s| s.health.until()).min()
+        self.all
+            .values()
+            .filter_map(|s| s.health.ejected_until())
+            .min()
     }
 
-    fn best(&mut self, now: Millis, wish: Wish, avoiding: bool) -> Option<EndpointId> {
-        let avoid = wish.avoid.filter(|_| avoiding);
-        let is_free = |s: &Slot| s.room(now) > 0 && !s.is_closed_to(now, wish.asker);
+    fn best(&mut self, now: Millis, criteria: Criteria, avoiding: bool) -> Option<EndpointId> {
+        let avoid = criteria.avoid.filter(|_| avoiding);
+        let is_free = |s: &Slot| s.room(now) > 0 && !s.is_closed_to(now, criteria.session);
         let free = (self.all.iter()).filter(|(id, s)| is_free(s) && Some(*id) != avoid);
         self.turn += 1;
         match self.choice {
-            Choice::Least => free
-                .min_by_key(|(id, s)| (s.score(now, &wish.prompt), *id))
+            Strategy::LeastLoaded => free
+                .min_by_key(|(id, s)| (s.score(now, &criteria.prompt), *id))
                 .map(|(id, _)| id),
-            Choice::RoundRobin => nth(free.map(|(id, _)| id).collect(), self.turn),
-            Choice::Random => {
+            Strategy::RoundRobin => nth(free.map(|(id, _)| id).collect(), self.turn),
+            Strategy::Random => {
                 let mixed = self.turn.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20;
                 nth(free.map(|(id, _)| id).collect(), mixed)
             }
@@ -577,9 +589,9 @@
     /// Load in thousandths of the slots, where an endpoint that has not seen the
     /// prefix counts as one request fuller, and one that fails as fuller by that.
     fn score(&self, now: Millis, prompt: &Prompt) -> u64 {
-        let prefix = prompt.first();
+        let prefix = prompt.first_key();
         let cold = u32::from(prefix != 0 && !self.prefixes.contains(&prefix));
         let load = u64::from(self.running + self.foreign + cold) * 1000;
-        load / u64::from(self.slots.max(1)) + self.reliability.failed(now) * FAILURE_LOADS
+        load / u64::from(self.slots.max(1)) + self.reliability.failure_permille(now) * FAILURE_LOADS
     }
 }
--- a/components/coordination/src/slot/order.rs
+++ b/components/coordination/src/slot/order.rs
@@ -218,7 +218,7 @@
 impl Standing {
     /// Time that a usual request takes of it, in microseconds.
     fn usual_us(&self) -> u64 {
-        self.speed.reading_us(USUAL_TOKENS) * (1 + WORK_WEIGHT)
+        self.speed.prefill_us(USUAL_TOKENS) * (1 + WORK_WEIGHT)
     }
 
     /// Time until what it was sent has been read, in microseconds.
--- a/components/coordination/src/slot/place.rs
+++ b/components/coordination/src/slot/place.rs
@@ -2,10 +2,10 @@
 
 use super::keeper::{Marks, Shares};
 use super::order::{Row, Standing};
-use super::{Place, Slot, Slots, Wish};
+use super::{Criteria, Place, Slot, Slots};
 use crate::engine::{ahead_ms, Engine, Source};
 use crate::prelude::*;
-use crate::prompt::PARTS;
+use crate::prompt::MAX_PARTS;
 
 /// Part of the time that is left which an engine may be expected to take, in
 /// hundredths: steps, the way and the other requests of a batch take the rest.
@@ -57,7 +57,7 @@
 
 /// What asks that were looked at and not sent leave for those behind them.
 #[derive(Clone, Debug, Default)]
-pub struct Claims {
+pub struct Reservations {
     /// What those that wait for an engine will have it read, in tokens.
     tokens: SmallVec<[(Place, u64); 24]>,
     /// Engines with claims, to pass over the list for the others.
@@ -66,7 +66,7 @@
     is_any_late: bool,
 }
 
-impl Claims {
+impl Reservations {
     /// Whether there are only such as would be late wherever they were sent.
     pub fn is_late_only(&self) -> bool {
         self.is_any_late && self.tokens.is_empty()
@@ -89,7 +89,7 @@
     }
 }
 
-impl Wish {
+impl Criteria {
     /// Whether an answer after some time is expected in time.
     fn is_in_time(&self, answer_us: u64) -> bool {
         answer_us * 100 <= self.slack_ms * 1000 * IN_TIME_PERCENT
@@ -108,11 +108,11 @@
 }
 
 impl Work {
-    fn new(wish: &Wish, missing: u64, source: Option<Source>) -> Self {
-        let copied = source.map_or(0, |s| s.gain(&wish.prompt, missing));
+    fn new(criteria: &Criteria, missing: u64, source: Option<Source>) -> Self {
+        let copied = source.map_or(0, |s| s.gain(&criteria.prompt, missing));
         let worth_us = match copied {
             0 => 0,
-            _ => wish.aim_ms.min(AIM_MAX_MS) * 10 * COPY_WORTH_PERCENT,
+            _ => criteria.aim_ms.min(AIM_MAX_MS) * 10 * COPY_WORTH_PERCENT,
         };
         Work {
             to_read: missing - copied,
@@ -123,15 +123,18 @@
 
     /// The best rank that an engine can have for it, without the claims and the risk
     /// that only [`Slot::estimate`] knows: most engines need no look beyond this.
-    fn least_rank(&self, wish: &Wish, row: &Row) -> (bool, u64) {
-        let work_us = row.speed.reading_us(self.to_read) + self.copying_us;
+    fn least_rank(&self, criteria: &Criteria, row: &Row) -> (bool, u64) {
+        let work_us = row.speed.prefill_us(self.to_read) + self.copying_us;
         let answer_us = row.answer_us + work_us;
         let wait_us = answer_us + self.worth_us + row.load_us;
-        (!wish.is_in_time(answer_us), wait_us + WORK_WEIGHT * work_us)
+        (
+            !criteria.is_in_time(answer_us),
+            wait_us + WORK_WEIGHT * work_us,
+        )
     }
 
     /// The least work up to each depth, in each respect.
-    fn least(works: &[Self]) -> SmallVec<[Self; PARTS + 1]> {
+    fn least(works: &[Self]) -> SmallVec<[Self; MAX_PARTS + 1]> {
         let least = works.iter().scan(None, |least: &mut Option<Self>, work| {
             let before = least.unwrap_or(*work);
             *least = Some(Work {
@@ -146,12 +149,12 @@
 
     /// By how many of the prompt's first parts an engine keeps.
     fn by_depth(
-        wish: &Wish,
+        criteria: &Criteria,
         shares: &Shares<'_>,
         source: Option<Source>,
-    ) -> SmallVec<[Self; PARTS + 1]> {
+    ) -> SmallVec<[Self; MAX_PARTS + 1]> {
         let all = shares.missing().into_iter();
-        all.map(|missing| Work::new(wish, missing, source))
+        all.map(|missing| Work::new(criteria, missing, source))
             .collect()
     }
 }
@@ -197,12 +200,12 @@
 struct Search<'a, 'c> {
     slots: &'a Slots,
     now: Millis,
-    wish: Wish,
+    criteria: Criteria,
     shares: Shares<'a>,
-    works: SmallVec<[Work; PARTS + 1]>,
+    works: SmallVec<[Work; MAX_PARTS + 1]>,
     /// No more than any of them up to each depth, in each respect.
-    least: SmallVec<[Work; PARTS + 1]>,
-    claims: &'c Claims,
+    least: SmallVec<[Work; MAX_PARTS + 1]>,
+    claims: &'c Reservations,
     best: Option<Found<'a>>,
 }
 
@@ -210,16 +213,16 @@
     fn new(
         slots: &'a Slots,
         now: Millis,
-        wish: Wish,
+        criteria: Criteria,
         source: Option<Source>,
-        claims: &'c Claims,
+        claims: &'c Reservations,
     ) -> Self {
-        let shares = slots.parts.of(&wish.prompt);
-        let works = Work::by_depth(&wish, &shares, source);
+        let shares = slots.parts.of(&criteria.prompt);
+        let works = Work::by_depth(&criteria, &shares, source);
         Search {
             slots,
             now,
-            wish,
+            criteria,
             shares,
             least: Work::least(&works),
             works,
@@ -231,7 +234,7 @@
     /// Whether an engine cannot be the best, if this is what it has to do.
     fn is_worse(&self, work: &Work, row: &Row) -> bool {
         let best = self.best.as_ref();
-        best.is_some_and(|best| best.estimate.rank() < work.least_rank(&self.wish, row))
+        best.is_some_and(|best| best.estimate.rank() < work.least_rank(&self.criteria, row))
     }
 
     /// Takes an engine if it is better than those before it; of equal ones, the one
@@ -254,7 +257,7 @@
             return;
         };
         let claimed = self.claims.on(place);
-        let Some(estimate) = slot.estimate(self.now, &self.wish, work, claimed) else {
+        let Some(estimate) = slot.estimate(self.now, &self.criteria, work, claimed) else {
             return;
         };
         let rank = (estimate.rank(), slot.id);
@@ -277,23 +280,23 @@
     pub(super) fn place(
         &mut self,
         now: Millis,
-        wish: Wish,
-        claims: &mut Claims,
+        criteria: Criteria,
+        claims: &mut Reservations,
     ) -> Option<EndpointId> {
         self.advance(now);
         let Found {
             estimate,
             place,
             slot,
-        } = self.search(now, wish, claims)?;
-        if estimate.is_late && wish.only_in_time {
+        } = self.search(now, criteria, claims)?;
+        if estimate.is_late && criteria.only_in_time {
             claims.is_any_late = true;
             return None;
         }
         let free = slot.room(now) > 0;
         let engine = slot.engine.as_ref()?;
         let is_first = claims.on(place) == 0;
-        if free && is_first && engine.has_room(now, &wish.prompt, wish.aim_ms) {
+        if free && is_first && engine.has_room(now, &criteria.prompt, criteria.aim_ms) {
             return Some(slot.id);
         }
         claims.add(place, estimate.to_read.max(CLAIM_MIN));
@@ -301,18 +304,18 @@
     }
 
     /// The best engine for a request.
-    fn search(&self, now: Millis, wish: Wish, claims: &Claims) -> Option<Found<'_>> {
+    fn search(&self, now: Millis, criteria: Criteria, claims: &Reservations) -> Option<Found<'_>> {
         // A try that failed may have failed by what it was to copy.
-        let source = (wish.avoid.is_none()).then(|| self.source(now, &wish.prompt));
+        let source = (criteria.avoid.is_none()).then(|| self.source(now, &criteria.prompt));
         let source = source.flatten();
-        let mut search = Search::new(self, now, wish, source, claims);
+        let mut search = Search::new(self, now, criteria, source, claims);
         let shares = search.shares.clone();
         let most = self.candidates(now, &shares, |row, most| search.consider(row, most));
         let best = search.best.as_ref();
         if best.is_none_or(|best| best.estimate.is_late) {
             // One that is slow for what it generates may still answer in time.
             let others = self.order.front().iter().skip(FIRST);
-            let others = others.filter(|row| wish.is_in_time(row.answer_us));
+            let others = others.filter(|row| criteria.is_in_time(row.answer_us));
             others.for_each(|row| search.consider(row, most));
         }
         search.best
@@ -320,15 +323,15 @@
 
     /// Shortest time in which an engine would answer a request that is sent now, in
     /// milliseconds; `None` if there are no engines that take work.
-    pub fn soonest_ms(&mut self, now: Millis, wish: &Wish) -> Option<u64> {
+    pub fn soonest_ms(&mut self, now: Millis, criteria: &Criteria) -> Option<u64> {
         self.advance(now);
-        let source = self.source(now, &wish.prompt);
-        let shares = self.parts.of(&wish.prompt);
-        let works = Work::by_depth(wish, &shares, source);
+        let source = self.source(now, &criteria.prompt);
+        let shares = self.parts.of(&criteria.prompt);
+        let works = Work::by_depth(criteria, &shares, source);
         let mut soonest: Option<u64> = None;
         self.candidates(now, &shares, |row, _| {
             let work = works.get(shares.depth(row.place));
-            let estimate = work.and_then(|w| self.all.at(row.place)?.estimate(now, wish, w, 0));
+            let estimate = work.and_then(|w| self.all.at(row.place)?.estimate(now, criteria, w, 0));
             if let Some(estimate) = estimate {
                 let answer_ms = estimate.answer_us / 1000;
                 soonest = Some(soonest.map_or(answer_ms, |other| other.min(answer_ms)));
@@ -373,11 +376,11 @@
         let front = self.order.front();
         let (first, others) = front.split_at(front.len().min(FIRST));
         if others.is_empty() {
-            first.iter().for_each(|row| look(row, PARTS));
-            return PARTS;
+            first.iter().for_each(|row| look(row, MAX_PARTS));
+            return MAX_PARTS;
         }
         let (soonest, first) = first.split_at(SOONEST);
-        soonest.iter().for_each(|row| look(row, PARTS));
+        soonest.iter().for_each(|row| look(row, MAX_PARTS));
         let mut most = shares.len();
         let mut common = None;
         for (keepers, _) in shares.backwards() {
@@ -387,7 +390,7 @@
             }
             let rows = keepers.backwards();
             let rows = rows.filter_map(|place| self.order.row(now, place));
-            rows.for_each(|row| look(&row, PARTS));
+            rows.for_each(|row| look(&row, MAX_PARTS));
             most -= 1;
         }
         first.iter().for_each(|row| look(row, most));
@@ -412,7 +415,7 @@
         let has_read = |place: &Place, tokens| {
             let slot = self.all.at(*place).filter(|slot| slot.is_open(now));
             let engine = slot.and_then(|slot| slot.engine.as_ref());
-            engine.is_some_and(|engine| engine.has_read(prompt) >= tokens)
+            engine.is_some_and(|engine| engine.copyable_tokens(prompt) >= tokens)
         };
         let mut found = (shares.backwards())
             .filter_map(|(k, tokens)| Some((k.backwards().find(|p| has_read(p, tokens))?, tokens)));
@@ -426,11 +429,11 @@
         };
         let (endpoint, tokens) = if is_far { far? } else { near? };
         // Between data centres a copy takes about twice as long.
-        let rate = if is_far { rate / 2 } else { rate };
+        let tokens_per_s = if is_far { rate / 2 } else { rate };
         Some(Source {
             endpoint,
             tokens,
-            rate,
+            tokens_per_s,
         })
     }
 }
@@ -438,9 +441,15 @@
 impl Slot {
     /// What a request would find here that brings some work, behind `claimed` tokens of
     /// others; `None` if this is no engine that takes work.
-    fn estimate(&self, now: Millis, wish: &Wish, work: &Work, claimed: u64) -> Option<Estimate> {
+    fn estimate(
+        &self,
+        now: Millis,
+        criteria: &Criteria,
+        work: &Work,
+        claimed: u64,
+    ) -> Option<Estimate> {
         let engine = self.engine.as_ref().filter(|_| self.is_open(now))?;
-        if self.is_closed_to(now, wish.asker) {
+        if self.is_closed_to(now, criteria.session) {
             return None;
         }
         let Work {
@@ -448,18 +457,18 @@
             copying_us,
             worth_us,
         } = *work;
-        let aim_ms = wish.aim_ms.min(AIM_MAX_MS);
-        let reading_us = engine.expected_us(now, self.id, &wish.prompt, to_read, claimed);
+        let aim_ms = criteria.aim_ms.min(AIM_MAX_MS);
+        let reading_us = engine.expected_us(now, self.id, &criteria.prompt, to_read, claimed);
         let answer_us = reading_us + copying_us;
-        let risk_us = self.reliability.failed(now) * aim_ms * FAILURE_AIMS;
+        let risk_us = self.reliability.failure_permille(now) * aim_ms * FAILURE_AIMS;
         let wait_us = answer_us + worth_us + risk_us + self.load_us(engine);
         // By time alone: what a copy costs others makes nobody's answer late.
-        let in_time = wish.is_in_time(answer_us);
+        let in_time = criteria.is_in_time(answer_us);
         Some(Estimate {
-            is_late: wish.avoid == Some(self.id) || !in_time,
+            is_late: criteria.avoid == Some(self.id) || !in_time,
             answer_us,
             wait_us,
-            work_us: engine.reading_us(to_read) + copying_us,
+            work_us: engine.prefill_us(to_read) + copying_us,
             to_read,
         })
     }
@@ -473,23 +482,23 @@
             speed: engine.speed(),
             tail_us: engine.tail_us(),
             load_us: self.load_us(engine),
-            risk_us: self.reliability.failed(now) * USUAL_AIM_MS * FAILURE_AIMS,
+            risk_us: self.reliability.failure_permille(now) * USUAL_AIM_MS * FAILURE_AIMS,
         })
     }
 
     /// What its other requests cost one that joins them, in microseconds.
     fn load_us(&self, engine: &Engine) -> u64 {
         let batch_us = u64::from(self.running + self.foreign) * BATCH_US;
-        // Reading delays all that an engine generates, also after it has looked idle again:
+        // Prefill delays all that an engine generates, also after it has looked idle again:
         // 0.584, 0.663, 0.687 of the worth without, 0.574, 0.688, 0.733 with.
-        batch_us + engine.reading_us(engine.unread())
+        batch_us + engine.prefill_us(engine.pending_tokens())
     }
 
     /// When that changes by time alone.
     fn changes_at(&self, now: Millis) -> Option<Millis> {
         let (_, phase) = self.engine.as_ref()?.phase(now);
-        let returns = self.health.until().filter(|until| *until > now);
-        let falls = self.reliability.falls(now);
+        let returns = self.health.ejected_until().filter(|until| *until > now);
+        let falls = self.reliability.next_decay(now);
         let left = self.left.filter(|until| *until > now);
         let opens = self.ramp.map(|ramp| ramp.opens_at());
         let opens = opens.filter(|at| *at > now);
--- a/components/coordination/src/ramp.rs
+++ b/components/coordination/src/warmup.rs
@@ -15,21 +15,21 @@
 /// They are spaced evenly (the generic cell rate algorithm without a burst: ITU-T I.371), so
 /// that no span of a second holds more than the rate and one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ramp {
+pub struct Pacer {
     until: Millis,
     /// Time between two requests, in microseconds; `None` for no requests.
     every_us: Option<u64>,
     next_us: u64,
 }
 
-impl Ramp {
+impl Pacer {
     /// A ramp until `until`, at `rate` thousandths of a request a second. The endpoint has
     /// been sent nothing since `quiet`.
     ///
     /// What it was sent before it was known to be cold counts within the same second, and
     /// so does what an earlier scheduler granted: it gets nothing for that long.
     pub fn new(until: Millis, rate: u32, quiet: Millis) -> Self {
-        Ramp {
+        Pacer {
             until,
             every_us: RATE_US.checked_div(u64::from(rate)),
             next_us: quiet.after(WINDOW_MS).0 * 1000,
--- a/components/coordination/tests/backoff.rs
+++ b/components/coordination/tests/backoff.rs
@@ -222,11 +222,11 @@
 fn scheduler(is_engine: bool) -> (Scheduler, Session, Session) {
     let mut scheduler = Scheduler::new(Epoch(EPOCH), Millis(0));
     let slots = scheduler.slots();
-    slots.set_memory(is_engine.then(|| engine().memory_tokens));
+    slots.set_memory_tokens(is_engine.then(|| engine().memory_tokens));
     slots.set(E1, 4, 0, false);
     slots.set(E2, 4, 0, false);
-    let one = scheduler.open(Millis(0), None, &Hello::default());
-    let two = scheduler.open(Millis(0), None, &Hello::default());
+    let one = scheduler.open_session(Millis(0), None, &Hello::default());
+    let two = scheduler.open_session(Millis(0), None, &Hello::default());
     (scheduler, one, two)
 }
 
@@ -267,7 +267,7 @@
 fn can_grant_others_what_is_away_for_one_router(#[case] is_engine: bool) {
     let (mut scheduler, one, two) = scheduler(is_engine);
     let now = Millis(GATHER_MS);
-    scheduler.take(now, one, Report::Backoff(rest(E1, 3000)));
+    scheduler.handle_report(now, one, Report::Backoff(rest(E1, 3000)));
     assert_eq!(granted(&mut scheduler, now, one, 0), [E2; 4]);
     assert!(granted(&mut scheduler, now, two, 0).contains(&E1));
     let ended = now.after(3000);
@@ -281,7 +281,7 @@
 fn can_keep_everyone_from_an_endpoint_that_leaves(#[case] is_engine: bool) {
     let (mut scheduler, one, two) = scheduler(is_engine);
     let now = Millis(GATHER_MS);
-    scheduler.take(now, one, Report::Backoff(Backoff::leaving(E1)));
+    scheduler.handle_report(now, one, Report::Backoff(Backoff::leaving(E1)));
     assert_eq!(granted(&mut scheduler, now, one, 0), [E2; 4]);
     assert_eq!(granted(&mut scheduler, now, two, 0), [E2; 4]);
     let over = now.after(u64::from(LEAVING_MS));
@@ -293,7 +293,7 @@
 fn can_forget_a_rest_with_its_session() {
     let (mut scheduler, one, _) = scheduler(true);
     let now = Millis(GATHER_MS);
-    scheduler.take(now, one, Report::Backoff(rest(E1, 3000)));
-    let again = scheduler.open(now, Some(one), &Hello::default());
+    scheduler.handle_report(now, one, Report::Backoff(rest(E1, 3000)));
+    let again = scheduler.open_session(now, Some(one), &Hello::default());
     assert!(granted(&mut scheduler, now, again, 0).contains(&E1));
 }
--- a/components/coordination/tests/cold.rs
+++ b/components/coordination/tests/cold.rs
@@ -13,9 +13,9 @@
 use coordination::dispatcher::{Dispatcher, Effect, LOCAL_MS};
 use coordination::listing::Roster;
 use coordination::prompt::Prompt;
-use coordination::ramp::Ramp;
 use coordination::returns::Returns;
 use coordination::scheduler::{self, Scheduler};
+use coordination::warmup::Pacer;
 use state::clock::Millis;
 use state::config::{Cold, Engine};
 use state::evacuation::Evacuation;
@@ -50,7 +50,7 @@
 fn scheduler(epoch: u64, now: Millis, memory: Option<u64>, until: Millis) -> Scheduler {
     let mut scheduler = Scheduler::new(Epoch(epoch), now);
     let slots = scheduler.slots();
-    slots.set_memory(memory);
+    slots.set_memory_tokens(memory);
     slots.set_cold_rate(Some(RATE));
     for id in 1..=3 {
         slots.set(EndpointId(id), 64, 0, false);
@@ -75,7 +75,7 @@
 
 impl Load {
     fn new(mut scheduler: Scheduler, now: Millis) -> Self {
-        let session = scheduler.open(now, None, &Hello::default());
+        let session = scheduler.open_session(now, None, &Hello::default());
         Load {
             scheduler,
             session,
@@ -95,12 +95,15 @@
             let mut effects = self.scheduler.ask(
                 now,
                 self.session,
-                ask(self.next, Prompt::alone(self.tokens, 1), 60_000, 100),
+                ask(self.next, Prompt::unshared(self.tokens, 1), 60_000, 100),
             );
             while let Some(entry) = self.running.first_entry().filter(|e| e.key().0 <= at) {
                 let ((_, seq), sent) = entry.remove_entry();
                 let took_ms = u32::try_from(at - sent).ok();
-                effects.extend(self.scheduler.began(now, self.session, seq, took_ms));
+                effects.extend(
+                    self.scheduler
+                        .note_first_byte(now, self.session, seq, took_ms),
+                );
                 let ended = self
                     .scheduler
                     .done(now, self.session, seq, 100, Verdict::Fine);
@@ -334,7 +337,7 @@
 /// Guards against a ramp that lets more through after a pause.
 #[test]
 fn can_space_requests_evenly_after_a_pause() {
-    let mut ramp = Ramp::new(Millis(60_000), RATE, Millis(0));
+    let mut ramp = Pacer::new(Millis(60_000), RATE, Millis(0));
     assert!(!ramp.admits(Millis(999)));
     let mut moments = Vec::new();
     for at in (1000..3000).chain(20_000..23_000) {
@@ -345,6 +348,6 @@
     }
     assert!(most(&moments) <= MOST, "{}", most(&moments));
     assert!(moments.len() >= 40, "{}", moments.len());
-    assert!(!Ramp::new(Millis(5000), 0, Millis(0)).admits(Millis(4999)));
-    assert!(Ramp::new(Millis(5000), 0, Millis(0)).admits(Millis(5000)));
+    assert!(!Pacer::new(Millis(5000), 0, Millis(0)).admits(Millis(4999)));
+    assert!(Pacer::new(Millis(5000), 0, Millis(0)).admits(Millis(5000)));
 }
--- a/components/coordination/tests/copies.rs
+++ b/components/coordination/tests/copies.rs
@@ -17,10 +17,10 @@
 fn scheduler(epoch: u64, engine: EndpointId, copies: bool) -> (Scheduler, Session) {
     let mut scheduler = Scheduler::new(Epoch(epoch), Millis(0));
     let slots = scheduler.slots();
-    slots.set_memory(Some(500_000));
-    slots.set_copy_rate(copies.then_some(200_000));
+    slots.set_memory_tokens(Some(500_000));
+    slots.set_copy_tokens_per_s(copies.then_some(200_000));
     slots.set(engine, 64, 0, false);
-    let session = scheduler.open(Millis(0), None, &Hello::default());
+    let session = scheduler.open_session(Millis(0), None, &Hello::default());
     (scheduler, session)
 }
 
@@ -41,10 +41,10 @@
 fn read(scheduler: &mut Scheduler, session: Session) -> Vec<Kept> {
     let grant = send(scheduler, session, 1000, 1);
     assert_eq!(grant.copy_from, None);
-    assert!(scheduler.tell_kept().is_empty(), "it is not read yet");
-    scheduler.began(Millis(1300), session, grant.seq, Some(300));
+    assert!(scheduler.take_new_cached().is_empty(), "it is not read yet");
+    scheduler.note_first_byte(Millis(1300), session, grant.seq, Some(300));
     scheduler.done(Millis(1500), session, grant.seq, 100, Verdict::Fine);
-    scheduler.tell_kept()
+    scheduler.take_new_cached()
 }
 
 /// Guards against a part that each data centre's engines read again, since their scheduler
@@ -60,12 +60,12 @@
         "the request's own part is nobody else's"
     );
     let (mut here, session) = scheduler(2, HERE, true);
-    here.hear_kept(&told);
+    here.merge_cached(&told);
     let grant = send(&mut here, session, 2000, 1);
     assert_eq!((grant.endpoint, grant.copy_from), (HERE, Some(THERE)));
     assert!(grant.basis.to_read < 2000, "{:?}", grant.basis);
     // Once it has the part itself, nothing is copied.
-    here.began(Millis(2300), session, grant.seq, Some(300));
+    here.note_first_byte(Millis(2300), session, grant.seq, Some(300));
     let grant = send(&mut here, session, 2400, 2);
     assert_eq!(grant.copy_from, None);
 }
@@ -76,7 +76,7 @@
     let (mut there, session) = scheduler(1, THERE, true);
     let told = read(&mut there, session);
     let (mut here, session) = scheduler(2, HERE, true);
-    here.hear_kept(&told);
+    here.merge_cached(&told);
     here.slots().retain_foreign(|id| id != THERE);
     let grant = send(&mut here, session, 2000, 1);
     assert_eq!(grant.copy_from, None);
@@ -88,10 +88,10 @@
     let (mut there, session) = scheduler(1, THERE, true);
     assert_eq!(read(&mut there, session).len(), 1);
     let grant = send(&mut there, session, 1600, 5);
-    there.began(Millis(1700), session, grant.seq, Some(100));
-    assert!(there.tell_kept().is_empty());
+    there.note_first_byte(Millis(1700), session, grant.seq, Some(100));
+    assert!(there.take_new_cached().is_empty());
     // A scheduler that has just begun is told all of it.
-    assert_eq!(there.all_kept().len(), 1);
+    assert_eq!(there.all_cached().len(), 1);
     // What cannot be copied is not told.
     let (mut other, session) = scheduler(3, THERE, false);
     assert!(read(&mut other, session).is_empty());
--- a/components/coordination/tests/decisions.rs
+++ b/components/coordination/tests/decisions.rs
@@ -2,7 +2,7 @@
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
 use coordination::ask::{Ask, Class, Held, Hello, Known, Seq, Served, Verdict};
-use coordination::health::{Change, Health, EJECT_MS, FAILURES};
+use coordination::health::{Change, Health, EJECT_FAILURES, EJECT_MIN_MS};
 use coordination::ledger::{virtual_cost, Ledger};
 use coordination::limit::Bucket;
 use coordination::platform::{Change as ListChange, Entry, State, Watch};
@@ -10,7 +10,7 @@
 use coordination::retry::{after, Bounds, Budget, Next, Reach, Try};
 use coordination::rule::{decide, idempotent, shadowed, Request};
 use coordination::scheduler::{Effect, Effects, Scheduler, Session, GATHER_MS, ORPHAN_MS};
-use coordination::slot::{Claims, Slots, Wish};
+use coordination::slot::{Criteria, Reservations, Slots};
 use coordination::tree::{Confirm, Tree, Welcome};
 use rstest::rstest;
 use state::clock::Millis;
@@ -62,9 +62,9 @@
 #[test]
 fn can_remember_twice_without_counting_twice() {
     let mut ledger = Ledger::default();
-    ledger.remember(A, 700);
-    ledger.remember(A, 700);
-    ledger.remember(A, 300);
+    ledger.restore(A, 700);
+    ledger.restore(A, 700);
+    ledger.restore(A, 300);
     assert_eq!(ledger.settled(A), 700);
 }
 
@@ -79,7 +79,7 @@
     let mut bucket = Bucket::new(10, Millis(0));
     let mut started = 0;
     for ms in 0..=3000 {
-        while bucket.ready(Millis(ms)) {
+        while bucket.has_token(Millis(ms)) {
             bucket.take(Millis(ms));
             started += 1;
         }
@@ -190,16 +190,16 @@
 #[test]
 fn can_eject_an_endpoint_and_probe_it_with_one_request() {
     let mut health = Health::default();
-    for _ in 1..FAILURES {
-        assert_eq!(health.failed(Millis(0)), Change::None);
+    for _ in 1..EJECT_FAILURES {
+        assert_eq!(health.record_failure(Millis(0)), Change::None);
     }
-    assert_eq!(health.failed(Millis(0)), Change::Ejected);
-    assert_eq!(health.capacity(Millis(EJECT_MS - 1), 8), 0);
-    assert_eq!(health.capacity(Millis(EJECT_MS), 8), 1);
-    assert_eq!(health.failed(Millis(EJECT_MS)), Change::Ejected);
-    assert_eq!(health.capacity(Millis(EJECT_MS * 2), 8), 0);
-    assert_eq!(health.fine(), Change::Restored);
-    assert_eq!(health.capacity(Millis(EJECT_MS * 2), 8), 8);
+    assert_eq!(health.record_failure(Millis(0)), Change::Ejected);
+    assert_eq!(health.capacity(Millis(EJECT_MIN_MS - 1), 8), 0);
+    assert_eq!(health.capacity(Millis(EJECT_MIN_MS), 8), 1);
+    assert_eq!(health.record_failure(Millis(EJECT_MIN_MS)), Change::Ejected);
+    assert_eq!(health.capacity(Millis(EJECT_MIN_MS * 2), 8), 0);
+    assert_eq!(health.record_success(), Change::Restored);
+    assert_eq!(health.capacity(Millis(EJECT_MIN_MS * 2), 8), 8);
 }
 
 #[test]
@@ -207,8 +207,8 @@
     // Symptom: slots stand empty though nobody else uses the endpoint.
     // Sequence: four requests run and end; a report of a second ago says four.
     // Cause: a late report that is set against what runs now.
-    let wish = Wish {
-        asker: None,
+    let criteria = Criteria {
+        session: None,
         prompt: Prompt::default(),
         avoid: None,
         aim_ms: 600,
@@ -219,34 +219,34 @@
     let mut slots = Slots::default();
     slots.set(id, 4, 0, false);
     for _ in 0..4 {
-        let taken = slots.choose(Millis(0), wish, &mut Claims::default());
+        let taken = slots.choose(Millis(0), criteria, &mut Reservations::default());
         assert_eq!(taken, Some(id));
-        slots.take(Millis(0), id, wish.prompt);
+        slots.acquire(Millis(0), id, criteria.prompt);
     }
     for _ in 0..4 {
-        slots.free(Millis(900), id, Some(Verdict::Fine));
+        slots.release(Millis(900), id, Some(Verdict::Fine));
     }
-    slots.report(Millis(1000), id, 4);
-    assert!(slots.any_free(Millis(1000)));
+    slots.report_load(Millis(1000), id, 4);
+    assert!(slots.has_free_slot(Millis(1000)));
     // Beyond ours, it is someone else's work.
-    slots.report(Millis(1000), id, 8);
-    assert!(!slots.any_free(Millis(1000)));
+    slots.report_load(Millis(1000), id, 8);
+    assert!(!slots.has_free_slot(Millis(1000)));
 }
 
 #[test]
 fn can_prefer_an_endpoint_that_has_seen_the_prefix_while_loads_are_near() {
-    let wish = |prefix| Wish {
-        asker: None,
-        prompt: Prompt::of_prefix(prefix),
+    let criteria = |prefix| Criteria {
+        session: None,
+        prompt: Prompt::from_prefix_key(prefix),
         avoid: None,
         aim_ms: 600,
         slack_ms: 0,
         only_in_time: false,
     };
     let take = |slots: &mut Slots, prefix| {
-        let wish = wish(prefix);
-        let id = slots.choose(Millis(0), wish, &mut Claims::default())?;
-        slots.take(Millis(0), id, wish.prompt);
+        let criteria = criteria(prefix);
+        let id = slots.choose(Millis(0), criteria, &mut Reservations::default())?;
+        slots.acquire(Millis(0), id, criteria.prompt);
         Some(id)
     };
     let mut slots = Slots::default();
@@ -361,14 +361,14 @@
 fn scheduler(slots: u32) -> (Scheduler, Session) {
     let mut scheduler = Scheduler::new(Epoch(1), Millis(0));
     scheduler.slots().set(EndpointId(1), slots, 0, false);
-    let session = scheduler.open(Millis(0), None, &Hello::default());
+    let session = scheduler.open_session(Millis(0), None, &Hello::default());
     (scheduler, session)
 }
 
 #[test]
 fn can_hold_a_concurrency_limit_over_all_routers() {
     let (mut scheduler, first) = scheduler(8);
-    let second = scheduler.open(Millis(0), None, &Hello::default());
+    let second = scheduler.open_session(Millis(0), None, &Hello::default());
     let now = Millis(GATHER_MS);
     assert_eq!(granted(&scheduler.ask(now, first, ask(1, A, 2, 0))), [1]);
     assert_eq!(granted(&scheduler.ask(now, second, ask(2, A, 2, 0))), [2]);
@@ -400,7 +400,7 @@
     // Cause: grants before all routers have told what they hold.
     let mut scheduler = Scheduler::new(Epoch(2), Millis(0));
     scheduler.slots().set(EndpointId(1), 1, 0, false);
-    let first = scheduler.open(Millis(1), None, &Hello::default());
+    let first = scheduler.open_session(Millis(1), None, &Hello::default());
     assert!(scheduler.ask(Millis(1), first, ask(1, A, 0, 0)).is_empty());
     let held = Held {
         seq: Seq(5),
@@ -416,7 +416,7 @@
         held: vec![held],
         ..Hello::default()
     };
-    let second = scheduler.open(Millis(50), None, &holding);
+    let second = scheduler.open_session(Millis(50), None, &holding);
     assert!(scheduler.tick(Millis(GATHER_MS)).is_empty());
     let done = scheduler.done(Millis(GATHER_MS), second, Seq(5), 10, Verdict::Fine);
     assert_eq!(granted(&done), [1]);
@@ -439,9 +439,9 @@
     };
     let mut scheduler = Scheduler::new(Epoch(2), Millis(0));
     scheduler.slots().set(EndpointId(1), 1, 0, false);
-    let first = scheduler.open(Millis(1), None, &remembering(known(A, 9000, 500), 5000));
+    let first = scheduler.open_session(Millis(1), None, &remembering(known(A, 9000, 500), 5000));
     scheduler.ask(Millis(1), first, ask(1, A, 0, 0));
-    let second = scheduler.open(Millis(2), None, &remembering(known(B, 6000, 0), 5500));
+    let second = scheduler.open_session(Millis(2), None, &remembering(known(B, 6000, 0), 5500));
     scheduler.ask(Millis(2), second, ask(2, B, 0, 0));
     assert_eq!(granted(&scheduler.tick(Millis(GATHER_MS))), [2]);
     assert_eq!(scheduler.levels(), [(A, 9500), (B, 6000)]);
@@ -452,8 +452,8 @@
     let (mut scheduler, session) = scheduler(1);
     let now = Millis(GATHER_MS);
     scheduler.ask(now, session, ask(1, A, 0, 0));
-    scheduler.close(now, session);
-    let other = scheduler.open(now, None, &Hello::default());
+    scheduler.close_session(now, session);
+    let other = scheduler.open_session(now, None, &Hello::default());
     assert!(scheduler.ask(now, other, ask(9, B, 0, 0)).is_empty());
     assert_eq!(granted(&scheduler.tick(now.after(ORPHAN_MS))), [9]);
 }
@@ -463,8 +463,8 @@
     let (mut scheduler, session) = scheduler(1);
     let now = Millis(GATHER_MS);
     scheduler.ask(now, session, ask(1, A, 0, 0));
-    scheduler.close(now, session);
-    let reborn = scheduler.open(now, Some(session), &Hello::default());
+    scheduler.close_session(now, session);
+    let reborn = scheduler.open_session(now, Some(session), &Hello::default());
     assert_eq!(granted(&scheduler.ask(now, reborn, ask(1, A, 0, 0))), [1]);
 }
 
@@ -620,7 +620,7 @@
     // Cause: totals that are added instead of their growth.
     let (mut scheduler, _) = scheduler(1);
     let mut hear = |epoch, all, totals: &[(CustomerId, u64)]| {
-        scheduler.hear_served(&Served {
+        scheduler.merge_served(&Served {
             epoch: Epoch(epoch),
             all,
             totals: totals.to_vec(),
@@ -717,7 +717,7 @@
     let mut serve = |seq, customer| {
         scheduler.ask(now, session, ask(seq, customer, 0, 0));
         scheduler.done(now, session, Seq(seq), 10, Verdict::Fine);
-        let told = scheduler.tell_served();
+        let told = scheduler.take_served();
         (told.all, told.totals)
     };
     assert_eq!(serve(1, A), (true, vec![(A, 10_000)]));
@@ -735,8 +735,8 @@
     // Symptom: a flood of refused requests takes more for its log than for its answers.
     // Sequence: ten times the ceiling in one second, then a calm one.
     // Cause: a line for each of them.
-    let mut ceiling = coordination::limit::Ceiling::new(100);
-    let second = |ceiling: &mut coordination::limit::Ceiling, at: u64, lines: u64| {
+    let mut ceiling = coordination::limit::Window::new(100);
+    let second = |ceiling: &mut coordination::limit::Window, at: u64, lines: u64| {
         let times = (0..lines).map(|n| Millis(at * 1000 + n * 1000 / lines));
         times.filter(|now| ceiling.admits(*now)).count()
     };
@@ -761,23 +761,23 @@
     };
     let mut scheduler = Scheduler::new(Epoch(2), Millis(0));
     scheduler.slots().set(EndpointId(1), 4, 0, false);
-    let other = scheduler.open(Millis(1), None, &Hello::default());
-    let first = scheduler.open(Millis(300), None, &hello(7, 500));
+    let other = scheduler.open_session(Millis(1), None, &Hello::default());
+    let first = scheduler.open_session(Millis(300), None, &hello(7, 500));
     // Another router's ask lets what was spent be settled.
     scheduler.ask(Millis(310), other, ask(1, B, 0, 0));
     scheduler.tick(Millis(310));
     assert_eq!(scheduler.levels().first(), Some(&(A, 500)));
-    let second = scheduler.open(Millis(320), Some(first), &hello(7, 500));
+    let second = scheduler.open_session(Millis(320), Some(first), &hello(7, 500));
     scheduler.ask(Millis(330), other, ask(2, B, 0, 0));
     scheduler.tick(Millis(330));
     assert_eq!(scheduler.levels().first(), Some(&(A, 500)));
     // What it has spent since is told with the next one, and counts.
-    let third = scheduler.open(Millis(340), Some(second), &hello(7, 700));
+    let third = scheduler.open_session(Millis(340), Some(second), &hello(7, 700));
     scheduler.ask(Millis(350), other, ask(3, B, 0, 0));
     scheduler.tick(Millis(350));
     assert_eq!(scheduler.levels().first(), Some(&(A, 700)));
     // Once it has heard that, it tells only what came after.
-    scheduler.open(Millis(360), Some(third), &hello(8, 40));
+    scheduler.open_session(Millis(360), Some(third), &hello(8, 40));
     scheduler.ask(Millis(370), other, ask(4, B, 0, 0));
     scheduler.tick(Millis(370));
     assert_eq!(scheduler.levels().first(), Some(&(A, 740)));
--- a/components/coordination/tests/engines/mod.rs
+++ b/components/coordination/tests/engines/mod.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeSet, VecDeque};
 
 /// Tokens that an engine reads in a millisecond.
-pub(crate) const RATE: u64 = 40;
+pub(crate) const TOKENS_PER_MS: u64 = 40;
 /// Time to generate an answer, in milliseconds.
 const GENERATE_MS: u64 = 600;
 
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Progress<K> {
     /// The first event of a request.
-    Began(K),
+    FirstEvent(K),
     /// The end of its answer.
     Ended(K),
 }
@@ -24,7 +24,7 @@
     kept: BTreeSet<u64>,
     generating: VecDeque<(u64, K)>,
     /// Tokens read so far.
-    pub(crate) read: u64,
+    pub(crate) prefilled_tokens: u64,
 }
 
 impl<K> Default for Engine<K> {
@@ -33,7 +33,7 @@
             waiting: VecDeque::new(),
             kept: BTreeSet::new(),
             generating: VecDeque::new(),
-            read: 0,
+            prefilled_tokens: 0,
         }
     }
 }
@@ -43,7 +43,7 @@
     K: Copy,
 {
     /// What it has kept of a prompt's parts, from the first on, in tokens.
-    pub(crate) fn kept(&self, parts: &[(u64, u32)]) -> u64 {
+    pub(crate) fn cached_tokens(&self, parts: &[(u64, u32)]) -> u64 {
         let kept = parts.iter().take_while(|(id, _)| self.kept.contains(id));
         kept.map(|(_, tokens)| u64::from(*tokens)).sum()
     }
@@ -57,16 +57,16 @@
     /// One millisecond.
     pub(crate) fn step(&mut self, now: u64) -> Vec<Progress<K>> {
         let mut progress = Vec::new();
-        let mut left = RATE;
+        let mut left = TOKENS_PER_MS;
         while let Some((key, missing)) = self.waiting.front_mut() {
             let take = left.min(*missing);
             *missing -= take;
             left -= take;
-            self.read += take;
+            self.prefilled_tokens += take;
             if *missing > 0 {
                 break;
             }
-            progress.push(Progress::Began(*key));
+            progress.push(Progress::FirstEvent(*key));
             self.generating.push_back((now + GENERATE_MS, *key));
             self.waiting.pop_front();
         }
--- a/components/coordination/tests/fair.rs
+++ b/components/coordination/tests/fair.rs
@@ -127,10 +127,10 @@
 }
 
 #[rstest]
-#[case::least(coordination::slot::Choice::Least)]
-#[case::round_robin(coordination::slot::Choice::RoundRobin)]
-#[case::random(coordination::slot::Choice::Random)]
-fn can_measure_choices_of_replicas(#[case] choice: coordination::slot::Choice) {
+#[case::least(coordination::slot::Strategy::LeastLoaded)]
+#[case::round_robin(coordination::slot::Strategy::RoundRobin)]
+#[case::random(coordination::slot::Strategy::Random)]
+fn can_measure_choices_of_replicas(#[case] choice: coordination::slot::Strategy) {
     let setup = Setup {
         choice,
         load: 0.6,
--- a/components/coordination/tests/fleet/mod.rs
+++ b/components/coordination/tests/fleet/mod.rs
@@ -11,7 +11,7 @@
 use coordination::homes::Homes;
 use coordination::prompt::Prompt;
 use coordination::scheduler::{Effect as Given, Scheduler, Session};
-use coordination::slot::Choice;
+use coordination::slot::Strategy;
 use naive::Naive;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -43,7 +43,7 @@
     pub(crate) delay_ms: u64,
     pub(crate) crashes: bool,
     pub(crate) flood: bool,
-    pub(crate) choice: Choice,
+    pub(crate) choice: Strategy,
     /// Part of the capacity that is asked for, where nobody is backlogged.
     pub(crate) load: f64,
     pub(crate) run_ms: u64,
@@ -66,7 +66,7 @@
         delay_ms: 1,
         crashes: false,
         flood: false,
-        choice: Choice::Least,
+        choice: Strategy::LeastLoaded,
         load: 0.0,
         run_ms: 60_000,
     };
@@ -197,7 +197,7 @@
                 (CustomerId(c), homes.collect())
             })
             .collect();
-        let mut scheduler = Scheduler::with_choice(Epoch(1), Millis(0), setup.choice);
+        let mut scheduler = Scheduler::with_strategy(Epoch(1), Millis(0), setup.choice);
         arm(&mut scheduler, &setup);
         Fleet {
             setup,
@@ -417,12 +417,12 @@
         let now = self.now();
         let session = self.sessions.get(&router).copied();
         if let Report::Hello(hello) = report {
-            let opened = self.scheduler.open(now, session, &hello);
+            let opened = self.scheduler.open_session(now, session, &hello);
             self.sessions.insert(router, opened);
             return;
         }
         if let Some(session) = session {
-            let given = self.scheduler.take(now, session, report);
+            let given = self.scheduler.handle_report(now, session, report);
             self.give(given);
         }
     }
@@ -593,7 +593,7 @@
         let incarnation = self.routers[n].incarnation + 1;
         self.routers[n] = router(n, incarnation);
         if let Some(session) = self.sessions.get(&n) {
-            self.scheduler.close(Millis(self.now), *session);
+            self.scheduler.close_session(Millis(self.now), *session);
         }
         let me = Name::try_from("s").unwrap();
         let now = self.now();
@@ -611,7 +611,7 @@
         }
         self.down_until = self.now + 1000;
         let at = Millis(self.down_until);
-        self.scheduler = Scheduler::with_choice(epoch, at, self.setup.choice);
+        self.scheduler = Scheduler::with_strategy(epoch, at, self.setup.choice);
         arm(&mut self.scheduler, &self.setup);
         self.sessions.clear();
     }
--- a/components/coordination/tests/load.rs
+++ b/components/coordination/tests/load.rs
@@ -10,8 +10,8 @@
 use coordination::ask::{Ask, Class, Hello, Kept, Report, Seq, Verdict};
 use coordination::prompt::{Part, Prompt};
 use coordination::scheduler::{Effect, Scheduler, Session, GATHER_MS};
-use coordination::slot::{Claims, Slots, Wish};
-use engines::{Engine, Progress, RATE};
+use coordination::slot::{Criteria, Reservations, Slots};
+use engines::{Engine, Progress, TOKENS_PER_MS};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use state::clock::Millis;
@@ -66,12 +66,12 @@
     fn new(engines: u32, seed: u64, with_aims: bool) -> Self {
         let start = Millis(0);
         let mut scheduler = Scheduler::new(Epoch(1), start);
-        scheduler.slots().set_memory(Some(MEMORY));
+        scheduler.slots().set_memory_tokens(Some(MEMORY));
         let ids: Vec<EndpointId> = (1..=engines).map(EndpointId).collect();
         for id in &ids {
             scheduler.slots().set(*id, 64, 0, false);
         }
-        let session = scheduler.open(start, None, &Hello::default());
+        let session = scheduler.open_session(start, None, &Hello::default());
         World {
             now: GATHER_MS,
             rng: Pcg64::seed_from_u64(seed),
@@ -88,7 +88,7 @@
 
     /// What an engine has kept of a job's parts, from the first on, in tokens.
     fn kept(&self, engine: EndpointId, job: &Job) -> u64 {
-        self.engines[&engine].kept(&job.parts)
+        self.engines[&engine].cached_tokens(&job.parts)
     }
 
     /// A request with a shared part of 13,000 tokens and one of its own.
@@ -136,7 +136,7 @@
                     let all: u64 = job.parts.iter().map(|(_, n)| u64::from(*n)).sum();
                     let copied = source.saturating_sub(own);
                     // The time to copy is as if it took that of reading.
-                    let missing = all - own - copied + copied * RATE / COPY_RATE;
+                    let missing = all - own - copied + copied * TOKENS_PER_MS / COPY_RATE;
                     self.copies += u64::from(copied > 0);
                     let engine = self.engines.get_mut(&grant.endpoint).unwrap();
                     engine.send(grant.seq, &job.parts, missing);
@@ -149,7 +149,7 @@
                     assert!(refusal.after_ms > 0);
                     assert!(refusal.wait_ms > 0);
                 }
-                Effect::Ejected(_) | Effect::Restored(_) | Effect::Inquire(_) => {}
+                Effect::Ejected(_) | Effect::Restored(_) | Effect::RequestInventory(_) => {}
             }
         }
     }
@@ -162,7 +162,7 @@
         for engine in self.engines.values_mut() {
             let progress = engine.step(self.now).into_iter();
             reports.extend(progress.map(|progress| match progress {
-                Progress::Began(seq) => Report::Began(seq, PROMPTLY),
+                Progress::FirstEvent(seq) => Report::Began(seq, PROMPTLY),
                 Progress::Ended(seq) => Report::Done(seq, 5000, Verdict::Fine),
             }));
         }
@@ -180,7 +180,7 @@
                 Report::Done(seq, ..) => drop(self.jobs.remove(seq)),
                 _ => {}
             }
-            let effects = self.scheduler.take(now, self.session, report);
+            let effects = self.scheduler.handle_report(now, self.session, report);
             self.act(effects);
         }
         if self.now.is_multiple_of(20) {
@@ -203,7 +203,7 @@
     }
 
     fn read(&self) -> u64 {
-        self.engines.values().map(|e| e.read).sum()
+        self.engines.values().map(|e| e.prefilled_tokens).sum()
     }
 
     fn tally(&self, customer: u32) -> Tally {
@@ -245,7 +245,7 @@
     let run = |copies: bool| {
         let mut world = World::new(8, 1, true);
         let rate = copies.then_some(COPY_RATE * 1000);
-        world.scheduler.slots().set_copy_rate(rate);
+        world.scheduler.slots().set_copy_tokens_per_s(rate);
         for second in 0..30 {
             for _ in 0..1000 {
                 if world.rng.random_bool(0.09) {
@@ -283,45 +283,47 @@
     // Sequence: the engine that it is to copy from is dead and does not say so.
     // Cause: the next try copies from the same one.
     let mut slots = Slots::default();
-    slots.set_memory(Some(MEMORY));
-    slots.set_copy_rate(Some(COPY_RATE * 1000));
+    slots.set_memory_tokens(Some(MEMORY));
+    slots.set_copy_tokens_per_s(Some(COPY_RATE * 1000));
     for id in 1..=3 {
         slots.set(EndpointId(id), 64, 0, false);
     }
     let prompt = Prompt::new([(7, 13_000)], 10);
     for part in prompt.parts() {
-        slots.learn(Millis(0), EndpointId(1), part);
+        slots.note_cached(Millis(0), EndpointId(1), part);
     }
     let now = Millis(1000);
-    let first = slots.take(now, EndpointId(2), prompt).unwrap();
+    let first = slots.acquire(now, EndpointId(2), prompt).unwrap();
     assert_eq!(first.source(), Some(EndpointId(1)));
-    let second = slots.take_with(now, EndpointId(3), prompt, false).unwrap();
-    assert_eq!((second.source(), second.to_read()), (None, 13_000));
+    let second = slots
+        .acquire_with(now, EndpointId(3), prompt, false)
+        .unwrap();
+    assert_eq!((second.source(), second.prefill_tokens()), (None, 13_000));
 }
 
 #[test]
 fn can_wait_for_the_engine_that_keeps_a_part() {
     let mut slots = Slots::default();
-    slots.set_memory(Some(MEMORY));
+    slots.set_memory_tokens(Some(MEMORY));
     for id in 1..=2 {
         slots.set(EndpointId(id), 64, 0, false);
     }
     let now = Millis(1000);
     let choose = |slots: &mut Slots, own: u64, slack_ms| {
-        let wish = Wish {
-            asker: None,
+        let criteria = Criteria {
+            session: None,
             prompt: Prompt::new([(7, 13_000), (own, 4000)], 100),
             avoid: None,
             aim_ms: 600,
             slack_ms,
             only_in_time: false,
         };
-        let chosen = slots.choose(now, wish, &mut Claims::default());
-        (chosen, wish.prompt)
+        let chosen = slots.choose(now, criteria, &mut Reservations::default());
+        (chosen, criteria.prompt)
     };
     let (first, prompt) = choose(&mut slots, 100, 600);
     let first = first.unwrap();
-    slots.take(now, first, prompt);
+    slots.acquire(now, first, prompt);
     // It has 17,000 tokens to read: the next one waits for it rather than have
     // the other engine read the shared part as well.
     assert_eq!(choose(&mut slots, 101, 1200).0, None);
@@ -346,21 +348,23 @@
         ..Hello::default()
     };
     let mut scheduler = Scheduler::new(Epoch(2), Millis(0));
-    scheduler.slots().set_memory(Some(MEMORY));
+    scheduler.slots().set_memory_tokens(Some(MEMORY));
     for id in 1..=4 {
         scheduler.slots().set(EndpointId(id), 64, 0, false);
     }
-    scheduler.open(now, None, &hello);
+    scheduler.open_session(now, None, &hello);
     for own in 100..120 {
-        let wish = Wish {
-            asker: None,
+        let criteria = Criteria {
+            session: None,
             prompt: Prompt::new([(7, 13_000), (own, 10)], 10),
             avoid: None,
             aim_ms: 600,
             slack_ms: 600,
             only_in_time: false,
         };
-        let chosen = scheduler.slots().choose(now, wish, &mut Claims::default());
+        let chosen = scheduler
+            .slots()
+            .choose(now, criteria, &mut Reservations::default());
         assert_eq!(chosen, Some(EndpointId(3)));
     }
 }
@@ -425,8 +429,8 @@
     // others, and callers wait for nothing.
     // Sequence: an engine swallows requests; its callers leave long after their aim.
     // Cause: a caller that leaves says nothing of the endpoint.
-    let wish = |own: u64| Wish {
-        asker: None,
+    let criteria = |own: u64| Criteria {
+        session: None,
         prompt: Prompt::new([(own, 2000)], 100),
         avoid: None,
         aim_ms: 600,
@@ -435,7 +439,7 @@
     };
     let chosen = |bad: Option<EndpointId>| {
         let mut scheduler = Scheduler::new(Epoch(1), Millis(0));
-        scheduler.slots().set_memory(Some(MEMORY));
+        scheduler.slots().set_memory_tokens(Some(MEMORY));
         for id in 1..=3 {
             scheduler.slots().set(EndpointId(id), 64, 0, false);
         }
@@ -448,8 +452,8 @@
         let mut counts = BTreeMap::new();
         for own in 0..60 {
             let slots = scheduler.slots();
-            let claims = &mut Claims::default();
-            if let Some(id) = slots.choose(now, wish(own), claims) {
+            let claims = &mut Reservations::default();
+            if let Some(id) = slots.choose(now, criteria(own), claims) {
                 *counts.entry(id).or_insert(0) += 1;
             }
         }
@@ -473,9 +477,9 @@
         assert!(effects.is_empty());
         let gone = Report::Done(Seq(0), 0, Verdict::Gone);
         let now = Millis(world.now + left_after);
-        world.scheduler.take(now, world.session, gone);
+        world.scheduler.handle_report(now, world.session, gone);
         let ids = [EndpointId(1), EndpointId(2)];
-        ids.map(|id| world.scheduler.slots().failed(now, id))
+        ids.map(|id| world.scheduler.slots().failure_permille(now, id))
     };
     assert_eq!(run(u64::from(AIM_MS) / 2), [0, 0]);
     let silent = run(u64::from(AIM_MS) * 3);
@@ -492,8 +496,8 @@
         slots.set(EndpointId(id), 6, 0, false);
     }
     let now = Millis(1000);
-    let wish = Wish {
-        asker: None,
+    let criteria = Criteria {
+        session: None,
         prompt: Prompt::default(),
         avoid: None,
         aim_ms: 150,
@@ -502,24 +506,24 @@
     };
     for id in 1..=3 {
         for n in 0..10 {
-            slots.hold(now, EndpointId(id));
+            slots.adopt(now, EndpointId(id));
             let failed = id == 1 && n % 5 < 2;
             let verdict = if failed {
                 Verdict::Error
             } else {
                 Verdict::Fine
             };
-            slots.free(now, EndpointId(id), Some(verdict));
+            slots.release(now, EndpointId(id), Some(verdict));
         }
     }
     // One request on each of the others.
-    slots.hold(now, EndpointId(2));
-    slots.hold(now, EndpointId(3));
-    let chosen = slots.choose(now, wish, &mut Claims::default());
+    slots.adopt(now, EndpointId(2));
+    slots.adopt(now, EndpointId(3));
+    let chosen = slots.choose(now, criteria, &mut Reservations::default());
     assert_ne!(chosen, Some(EndpointId(1)));
     // Its failures are forgotten in time.
     let later = Millis(30_000);
-    let chosen = slots.choose(later, wish, &mut Claims::default());
+    let chosen = slots.choose(later, criteria, &mut Reservations::default());
     assert_eq!(chosen, Some(EndpointId(1)));
 }
 
@@ -528,18 +532,18 @@
     // Symptom: an engine is expected to answer at once, and reads the whole prompt.
     // Cause: a part is of use only if all parts before it are kept as well.
     let mut slots = Slots::default();
-    slots.set_memory(Some(MEMORY));
+    slots.set_memory_tokens(Some(MEMORY));
     slots.set(EndpointId(1), 64, 0, false);
     let now = Millis(1000);
     let prompt = Prompt::new([(7, 6000), (8, 5000), (9, 100)], 10);
     let to_read = |slots: &mut Slots| {
-        let reading = slots.take(now, EndpointId(1), prompt).unwrap();
-        slots.end(now, EndpointId(1), &reading);
-        reading.to_read()
+        let reading = slots.acquire(now, EndpointId(1), prompt).unwrap();
+        slots.end_prefill(now, EndpointId(1), &reading);
+        reading.prefill_tokens()
     };
-    slots.learn(now, EndpointId(1), Part::new(8, 5000));
+    slots.note_cached(now, EndpointId(1), Part::new(8, 5000));
     assert_eq!(to_read(&mut slots), 11_100);
-    slots.learn(now, EndpointId(1), Part::new(7, 6000));
+    slots.note_cached(now, EndpointId(1), Part::new(7, 6000));
     assert_eq!(to_read(&mut slots), 100);
 }
 
@@ -557,8 +561,8 @@
     // Cause: a picture that only what is sent from now on fills, and grants that do
     // not wait for a better one.
     let mut scheduler = Scheduler::new(Epoch(2), Millis(0));
-    scheduler.allow_inquiry();
-    scheduler.slots().set_memory(Some(MEMORY));
+    scheduler.enable_inventory_requests();
+    scheduler.slots().set_memory_tokens(Some(MEMORY));
     for id in 1..=3 {
         scheduler.slots().set(EndpointId(id), 64, 0, false);
     }
@@ -571,7 +575,7 @@
         ..Hello::default()
     };
     let early = Millis(GATHER_MS - 1);
-    let session = scheduler.open(early, None, &hello);
+    let session = scheduler.open_session(early, None, &hello);
     let asked = |seq| {
         ask(
             seq,
@@ -581,13 +585,15 @@
     assert!(scheduler.ask(early, session, asked(1)).is_empty());
     let now = Millis(GATHER_MS);
     let asked = scheduler.tick(now);
-    let inquire = |id| Effect::Inquire(EndpointId(id));
+    let inquire = |id| Effect::RequestInventory(EndpointId(id));
     assert_eq!(asked.to_vec(), [inquire(2), inquire(3)]);
     // Nothing is granted before they have told, and each is asked once.
     assert!(scheduler.tick(now.after(20)).is_empty());
     let parts = [Part::new(8, 2000), Part::new(9, 5000)];
-    assert!(scheduler.learn(now, EndpointId(3), None, &parts).is_empty());
-    let granted = scheduler.learn(now, EndpointId(2), None, &[]);
+    assert!(scheduler
+        .note_inventory(now, EndpointId(3), None, &parts)
+        .is_empty());
+    let granted = scheduler.note_inventory(now, EndpointId(2), None, &[]);
     let [Effect::Grant(_, grant)] = granted[..] else {
         panic!("{granted:?}");
     };
@@ -599,15 +605,15 @@
 fn can_go_on_when_engines_do_not_tell_what_they_have_kept() {
     // Symptom: a scheduler grants nothing as long as one engine is silent.
     let mut scheduler = Scheduler::new(Epoch(2), Millis(0));
-    scheduler.allow_inquiry();
-    scheduler.slots().set_memory(Some(MEMORY));
+    scheduler.enable_inventory_requests();
+    scheduler.slots().set_memory_tokens(Some(MEMORY));
     scheduler.slots().set(EndpointId(1), 64, 0, false);
-    let session = scheduler.open(Millis(0), None, &Hello::default());
+    let session = scheduler.open_session(Millis(0), None, &Hello::default());
     let mut granted = 0;
     for now in (0..1000).step_by(20) {
         let mut effects = scheduler.tick(Millis(now));
         if now == 100 {
-            let waiting = ask(1, Prompt::alone(100, 10));
+            let waiting = ask(1, Prompt::unshared(100, 10));
             effects.extend(scheduler.ask(Millis(now), session, waiting));
         }
         let is_grant = |e: &Effect| matches!(e, Effect::Grant(..));
--- a/components/coordination/tests/placement.rs
+++ b/components/coordination/tests/placement.rs
@@ -4,9 +4,9 @@
 mod scan;
 
 use coordination::ask::Verdict;
-use coordination::engine::Reading;
+use coordination::engine::Prefill;
 use coordination::prompt::{Part, Prompt};
-use coordination::slot::{Claims, Slots, Wish};
+use coordination::slot::{Criteria, Reservations, Slots};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use rstest::rstest;
@@ -32,7 +32,7 @@
     engines: u32,
     slots: Slots,
     scan: Scan,
-    running: VecDeque<(EndpointId, Reading, bool)>,
+    running: VecDeque<(EndpointId, Prefill, bool)>,
     next: u64,
 }
 
@@ -55,8 +55,8 @@
 impl Pair {
     fn new(engines: u32, seed: u64) -> Self {
         let mut slots = Slots::default();
-        slots.set_memory(Some(MEMORY));
-        slots.set_copy_rate(Some(COPY_RATE));
+        slots.set_memory_tokens(Some(MEMORY));
+        slots.set_copy_tokens_per_s(Some(COPY_RATE));
         let mut pair = Pair {
             rng: Pcg64::seed_from_u64(seed),
             now: Millis(1000),
@@ -91,10 +91,10 @@
         Prompt::new(parts.into_iter().skip(skipped), 100)
     }
 
-    fn wish(&mut self) -> Wish {
+    fn criteria(&mut self) -> Criteria {
         let aim_ms = self.rng.random_range(200..1500);
-        Wish {
-            asker: None,
+        Criteria {
+            session: None,
             prompt: self.prompt(),
             avoid: self.rng.random_bool(0.05).then(|| self.any_engine()),
             aim_ms,
@@ -105,16 +105,16 @@
 
     /// What is looked at together; sends the first that is placed.
     fn look(&mut self, tally: &mut Tally) {
-        let mut index_claims = Claims::default();
+        let mut index_claims = Reservations::default();
         let mut scan_claims = scan::Claims::default();
         for _ in 0..self.rng.random_range(1..=LOOK) {
-            let wish = self.wish();
-            let all = self.scan.estimates(self.now, &wish, &scan_claims);
-            let may_begin = self.slots.may_begin(self.now, wish.aim_ms);
-            let chosen = self.slots.choose(self.now, wish, &mut index_claims);
-            let expected = self.scan.choose(self.now, &wish, &mut scan_claims);
+            let criteria = self.criteria();
+            let all = self.scan.estimates(self.now, &criteria, &scan_claims);
+            let may_begin = self.slots.may_begin(self.now, criteria.aim_ms);
+            let chosen = self.slots.choose(self.now, criteria, &mut index_claims);
+            let expected = self.scan.choose(self.now, &criteria, &mut scan_claims);
             // A look is spared where none may begin.
-            assert!(may_begin || expected.is_none(), "{wish:?} {expected:?}");
+            assert!(may_begin || expected.is_none(), "{criteria:?} {expected:?}");
             tally.spared += u64::from(!may_begin);
             tally.choices += 1;
             tally.others += u64::from(chosen != expected);
@@ -127,20 +127,20 @@
             }
             // Where they differ, their claims do from here on.
             if chosen != expected || chosen.is_some() {
-                self.send(wish, chosen);
+                self.send(criteria, chosen);
                 return;
             }
         }
     }
 
-    fn send(&mut self, wish: Wish, id: Option<EndpointId>) {
+    fn send(&mut self, criteria: Criteria, id: Option<EndpointId>) {
         let Some(id) = id else {
             return;
         };
-        let reading = self.slots.take(self.now, id, wish.prompt).unwrap();
-        let other = self.scan.take(self.now, id, wish.prompt);
-        assert_eq!(reading.to_read(), other.to_read());
-        self.running.push_back((id, reading, false));
+        let prefill = self.slots.acquire(self.now, id, criteria.prompt).unwrap();
+        let other = self.scan.take(self.now, id, criteria.prompt);
+        assert_eq!(prefill.prefill_tokens(), other.prefill_tokens());
+        self.running.push_back((id, prefill, false));
     }
 
     /// The first byte of a request.
@@ -149,10 +149,11 @@
         let Some(at) = waiting else {
             return;
         };
-        let (id, reading, has_begun) = &mut self.running[at];
+        let (id, prefill, has_begun) = &mut self.running[at];
         *has_begun = true;
-        let mut other = *reading;
-        self.slots.began(self.now, *id, reading, scan::PROMPTLY);
+        let mut other = *prefill;
+        self.slots
+            .note_first_byte(self.now, *id, prefill, scan::PROMPTLY);
         self.scan.began(self.now, *id, &mut other);
     }
 
@@ -161,7 +162,7 @@
             return;
         }
         let at = self.rng.random_range(0..self.running.len());
-        let Some((id, reading, _)) = self.running.remove(at) else {
+        let Some((id, prefill, _)) = self.running.remove(at) else {
             return;
         };
         let verdict = match self.rng.random_range(0..20) {
@@ -170,10 +171,10 @@
             2 => Verdict::Gone,
             _ => Verdict::Fine,
         };
-        self.slots.free(self.now, id, Some(verdict));
+        self.slots.release(self.now, id, Some(verdict));
         self.scan.free(self.now, id, verdict);
-        self.slots.end(self.now, id, &reading);
-        self.scan.end(self.now, id, &reading);
+        self.slots.end_prefill(self.now, id, &prefill);
+        self.scan.end(self.now, id, &prefill);
     }
 
     /// Something that happens seldom.
@@ -195,7 +196,7 @@
             }
             _ => {
                 let part = Part::new(self.rng.random_range(0..6), 1500);
-                self.slots.learn(self.now, id, part);
+                self.slots.note_cached(self.now, id, part);
                 self.scan.learn(self.now, id, part);
             }
         }
@@ -211,9 +212,9 @@
                 88..98 => self.now = self.now.after(self.rng.random_range(1..40)),
                 _ => self.disturb(),
             }
-            let wish = self.wish();
-            let soonest = self.scan.soonest_ms(self.now, &wish);
-            let found = self.slots.soonest_ms(self.now, &wish);
+            let criteria = self.criteria();
+            let soonest = self.scan.soonest_ms(self.now, &criteria);
+            let found = self.slots.soonest_ms(self.now, &criteria);
             if self.engines <= EXACT {
                 assert_eq!(found, soonest);
             } else {
--- a/components/coordination/tests/region/setup.rs
+++ b/components/coordination/tests/region/setup.rs
@@ -1,6 +1,6 @@
 //! What a region consists of, what is asked for, and where callers come to.
 
-use crate::engines::RATE;
+use crate::engines::TOKENS_PER_MS;
 use crate::views;
 use coordination::assignment::shards;
 use state::view::View;
@@ -89,7 +89,7 @@
     pub(crate) fn capacity(&self) -> f64 {
         let weights: f64 = self.kinds.iter().map(|k| k.weight).sum();
         let own = self.kinds.iter().map(|k| k.weight * f64::from(k.own));
-        let read = (RATE * 1000 * (self.engines * self.centres) as u64) as f64;
+        let read = (TOKENS_PER_MS * 1000 * (self.engines * self.centres) as u64) as f64;
         read * weights / own.sum::<f64>()
     }
 
--- a/components/coordination/tests/region/world.rs
+++ b/components/coordination/tests/region/world.rs
@@ -126,8 +126,8 @@
         let view = setup.view();
         let shards = view.assignments.iter().map(|assignment| {
             let mut scheduler = Scheduler::new(assignment.epoch, Millis(0));
-            scheduler.batch();
-            scheduler.slots().set_memory(Some(MEMORY));
+            scheduler.enable_batching();
+            scheduler.slots().set_memory_tokens(Some(MEMORY));
             for (id, slots, lead, leaving) in endpoints(&view, &assignment.shard) {
                 scheduler.slots().set(id, slots, lead, leaving);
             }
@@ -340,7 +340,7 @@
                     job.sent = self.now;
                     let engine = self.engines.get_mut(&endpoint).unwrap();
                     let all = job.tokens();
-                    let missing = all - engine.kept(&job.parts);
+                    let missing = all - engine.cached_tokens(&job.parts);
                     engine.send((at, handle), &job.parts, missing);
                     self.tallies.entry(job.customer).or_default().begun += all;
                 }
@@ -405,7 +405,7 @@
         if self.now % 1000 != phase as u64 || self.shards.len() == 1 {
             return;
         }
-        let served = self.shards[n].scheduler.tell_served();
+        let served = self.shards[n].scheduler.take_served();
         for other in (0..self.shards.len()).filter(|other| *other != n) {
             self.post(Mail::Served(other, served.clone()));
         }
@@ -446,7 +446,7 @@
                     Some(_) => self.push(at, Work::Refusal(refusal)),
                     None => self.refuse(at, refusal),
                 },
-                Mail::Served(n, served) => self.shards[n].scheduler.hear_served(&served),
+                Mail::Served(n, served) => self.shards[n].scheduler.merge_served(&served),
             }
         }
     }
@@ -464,13 +464,13 @@
             shard.credit -= 100;
             if let Report::Hello(hello) = report {
                 let older = shard.sessions.get(&at).copied();
-                let session = shard.scheduler.open(now, older, &hello);
+                let session = shard.scheduler.open_session(now, older, &hello);
                 shard.sessions.insert(at, session);
                 continue;
             }
             shard.asks += u64::from(matches!(report, Report::Ask(_)));
             if let Some(session) = shard.sessions.get(&at) {
-                given.extend(shard.scheduler.take(now, *session, report));
+                given.extend(shard.scheduler.handle_report(now, *session, report));
             }
         }
         given.extend(shard.scheduler.flush(now));
@@ -493,7 +493,7 @@
                     let mail = Mail::Refusal(of(session), refusal);
                     self.post(mail);
                 }
-                Given::Inquire(_) | Given::Ejected(_) | Given::Restored(_) => {}
+                Given::RequestInventory(_) | Given::Ejected(_) | Given::Restored(_) => {}
             }
         }
     }
@@ -506,7 +506,7 @@
         }
         for progress in all {
             match progress {
-                Progress::Began((at, handle)) => {
+                Progress::FirstEvent((at, handle)) => {
                     let router = &mut self.routers[at];
                     let job = &router.jobs[&handle];
                     let (customer, tokens) = (job.customer, job.tokens());
--- a/components/coordination/tests/restart.rs
+++ b/components/coordination/tests/restart.rs
@@ -5,7 +5,7 @@
 mod endpoints;
 
 use coordination::ask::{Hello, Report, Seq, Verdict};
-use coordination::health::{EJECT_MS, FAILURES};
+use coordination::health::{EJECT_FAILURES, EJECT_MIN_MS};
 use coordination::listing::Roster;
 use coordination::prompt::{Part, Prompt};
 use coordination::scheduler::{Effect, Scheduler, Session, GATHER_MS};
@@ -25,16 +25,16 @@
 /// A scheduler of two engines, the first of which has kept the shared part.
 fn scheduler() -> (Scheduler, Session) {
     let mut scheduler = Scheduler::new(Epoch(1), Millis(0));
-    scheduler.slots().set_memory(Some(500_000));
+    scheduler.slots().set_memory_tokens(Some(500_000));
     for id in [A, B] {
         scheduler.slots().set(id, 8, 0, false);
     }
-    scheduler.allow_inquiry();
-    let session = scheduler.open(Millis(0), None, &Hello::default());
+    scheduler.enable_inventory_requests();
+    let session = scheduler.open_session(Millis(0), None, &Hello::default());
     scheduler.grant(Millis(GATHER_MS));
     let part = [Part::new(SHARED.0, SHARED.1)];
-    scheduler.learn(Millis(GATHER_MS), A, Some(1000), &part);
-    scheduler.learn(Millis(GATHER_MS), B, Some(1000), &[]);
+    scheduler.note_inventory(Millis(GATHER_MS), A, Some(1000), &part);
+    scheduler.note_inventory(Millis(GATHER_MS), B, Some(1000), &[]);
     (scheduler, session)
 }
 
@@ -45,7 +45,7 @@
 
 /// Where an ask is sent, and the tokens that are to be read for it there.
 fn sent(scheduler: &mut Scheduler, session: Session, now: u64, seq: u64) -> (EndpointId, u32) {
-    let effects = scheduler.take(Millis(now), session, ask(seq));
+    let effects = scheduler.handle_report(Millis(now), session, ask(seq));
     let grants = effects.iter().find_map(|effect| match effect {
         Effect::Grant(_, grant) => Some((grant.endpoint, grant.basis.to_read)),
         _ => None,
@@ -90,7 +90,7 @@
     // Cause: the picture of its earlier life.
     let (mut scheduler, session) = scheduler();
     assert_eq!(sent(&mut scheduler, session, 300, 1), (A, 500));
-    scheduler.learn(Millis(400), A, Some(2000), &[]);
+    scheduler.note_inventory(Millis(400), A, Some(2000), &[]);
     let (_, to_read) = sent(&mut scheduler, session, 500, 2);
     assert_eq!(to_read, 12_500);
 }
@@ -98,9 +98,9 @@
 #[test]
 fn what_an_earlier_start_said_comes_too_late() {
     let (mut scheduler, session) = scheduler();
-    scheduler.learn(Millis(300), A, Some(2000), &[]);
+    scheduler.note_inventory(Millis(300), A, Some(2000), &[]);
     let part = [Part::new(SHARED.0, SHARED.1)];
-    scheduler.learn(Millis(310), A, Some(1000), &part);
+    scheduler.note_inventory(Millis(310), A, Some(1000), &part);
     let (_, to_read) = sent(&mut scheduler, session, 400, 1);
     assert_eq!(to_read, 12_500);
 }
@@ -112,16 +112,19 @@
     // Cause: only engines of which nothing was known were asked.
     let (mut scheduler, session) = scheduler();
     scheduler.slots().set(B, 8, 0, true);
-    for seq in 0..u64::from(FAILURES) {
+    for seq in 0..u64::from(EJECT_FAILURES) {
         sent(&mut scheduler, session, 300, seq);
     }
-    for seq in 0..u64::from(FAILURES) {
+    for seq in 0..u64::from(EJECT_FAILURES) {
         let done = Report::Done(Seq(seq), 0, Verdict::Failed);
-        scheduler.take(Millis(310), session, done);
+        scheduler.handle_report(Millis(310), session, done);
     }
-    let back = 311 + EJECT_MS;
+    let back = 311 + EJECT_MIN_MS;
     assert_eq!(sent(&mut scheduler, session, back, 9).0, A);
     let done = Report::Done(Seq(9), 0, Verdict::Fine);
-    let effects = scheduler.take(Millis(back + 50), session, done);
-    assert!(effects.contains(&Effect::Inquire(A)), "{effects:?}");
+    let effects = scheduler.handle_report(Millis(back + 50), session, done);
+    assert!(
+        effects.contains(&Effect::RequestInventory(A)),
+        "{effects:?}"
+    );
 }
--- a/components/coordination/tests/scan/mod.rs
+++ b/components/coordination/tests/scan/mod.rs
@@ -2,11 +2,11 @@
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
 use coordination::ask::Verdict;
-use coordination::engine::{Changes, Engine, Reading, Source};
+use coordination::engine::{Changes, Engine, Prefill, Source};
 use coordination::health::Health;
 use coordination::prompt::{Part, Prompt};
 use coordination::reliability::Reliability;
-use coordination::slot::Wish;
+use coordination::slot::Criteria;
 use state::clock::Millis;
 use state::id::EndpointId;
 use std::collections::BTreeMap;
@@ -80,7 +80,7 @@
         self.all.remove(&id);
     }
 
-    pub(crate) fn take(&mut self, now: Millis, id: EndpointId, prompt: Prompt) -> Reading {
+    pub(crate) fn take(&mut self, now: Millis, id: EndpointId, prompt: Prompt) -> Prefill {
         let source = self.source(now, &prompt);
         let slot = self.all.get_mut(&id).unwrap();
         slot.running += 1;
@@ -89,19 +89,19 @@
 
     pub(crate) fn learn(&mut self, now: Millis, id: EndpointId, part: Part) {
         if let Some(slot) = self.all.get_mut(&id) {
-            slot.engine.learn(now, part, &mut Changes::new());
+            slot.engine.note_cached(now, part, &mut Changes::new());
         }
     }
 
-    pub(crate) fn began(&mut self, now: Millis, id: EndpointId, reading: &mut Reading) {
+    pub(crate) fn began(&mut self, now: Millis, id: EndpointId, prefill: &mut Prefill) {
         if let Some(slot) = self.all.get_mut(&id) {
-            slot.engine.began(now, reading, PROMPTLY);
+            slot.engine.note_first_byte(now, prefill, PROMPTLY);
         }
     }
 
-    pub(crate) fn end(&mut self, now: Millis, id: EndpointId, reading: &Reading) {
+    pub(crate) fn end(&mut self, now: Millis, id: EndpointId, prefill: &Prefill) {
         if let Some(slot) = self.all.get_mut(&id) {
-            slot.engine.end(now, reading, &mut Changes::new());
+            slot.engine.end(now, prefill, &mut Changes::new());
         }
     }
 
@@ -111,13 +111,13 @@
         };
         slot.running = slot.running.saturating_sub(1);
         match verdict {
-            Verdict::Fine => slot.reliability.note(now, false),
-            Verdict::Failed | Verdict::Error => slot.reliability.note(now, true),
+            Verdict::Fine => slot.reliability.record(now, false),
+            Verdict::Failed | Verdict::Error => slot.reliability.record(now, true),
             Verdict::Gone => {}
         }
         match verdict {
-            Verdict::Fine | Verdict::Error => _ = slot.health.fine(),
-            Verdict::Failed => _ = slot.health.failed(now),
+            Verdict::Fine | Verdict::Error => _ = slot.health.record_success(),
+            Verdict::Failed => _ = slot.health.record_failure(now),
             Verdict::Gone => {}
         }
     }
@@ -125,20 +125,25 @@
     pub(crate) fn forget(&mut self, id: EndpointId) {
         if let Some(slot) = self.all.get_mut(&id) {
             slot.reliability = Reliability::default();
-            slot.engine.forget(&mut Changes::new());
+            slot.engine.reset(&mut Changes::new());
         }
     }
 
     /// What a request would find at each engine that takes work.
-    pub(crate) fn estimates(&self, now: Millis, wish: &Wish, claims: &Claims) -> Vec<Estimate> {
-        let source = match wish.avoid {
+    pub(crate) fn estimates(
+        &self,
+        now: Millis,
+        criteria: &Criteria,
+        claims: &Claims,
+    ) -> Vec<Estimate> {
+        let source = match criteria.avoid {
             Some(_) => None,
-            None => self.source(now, &wish.prompt),
+            None => self.source(now, &criteria.prompt),
         };
         let open = self.all.iter().filter(|(_, slot)| slot.is_open(now));
         let all = open.map(|(id, slot)| {
             let claimed = claims.tokens.get(id).copied().unwrap_or(0);
-            slot.estimate(now, *id, wish, source, claimed)
+            slot.estimate(now, *id, criteria, source, claimed)
         });
         all.collect()
     }
@@ -147,41 +152,42 @@
     pub(crate) fn choose(
         &self,
         now: Millis,
-        wish: &Wish,
+        criteria: &Criteria,
         claims: &mut Claims,
     ) -> Option<EndpointId> {
-        let all = self.estimates(now, wish, claims);
+        let all = self.estimates(now, criteria, claims);
         let best = all.into_iter().min_by_key(|e| (e.rank, e.id))?;
-        if best.rank.0 && wish.only_in_time {
+        if best.rank.0 && criteria.only_in_time {
             return None;
         }
         let slot = &self.all[&best.id];
         let claimed = claims.tokens.entry(best.id).or_default();
         let room = slot.capacity(now).saturating_sub(slot.running);
-        if room > 0 && *claimed == 0 && slot.engine.has_room(now, &wish.prompt, wish.aim_ms) {
+        if room > 0 && *claimed == 0 && slot.engine.has_room(now, &criteria.prompt, criteria.aim_ms)
+        {
             return Some(best.id);
         }
         *claimed += best.to_read.max(CLAIM_MIN);
         None
     }
 
-    pub(crate) fn soonest_ms(&self, now: Millis, wish: &Wish) -> Option<u64> {
-        let wish = Wish {
+    pub(crate) fn soonest_ms(&self, now: Millis, criteria: &Criteria) -> Option<u64> {
+        let criteria = Criteria {
             avoid: None,
-            ..*wish
+            ..*criteria
         };
-        let all = self.estimates(now, &wish, &Claims::default());
+        let all = self.estimates(now, &criteria, &Claims::default());
         all.into_iter().map(|e| e.answer_us / 1000).min()
     }
 
     fn source(&self, now: Millis, prompt: &Prompt) -> Option<Source> {
         let open = self.all.iter().filter(|(_, slot)| slot.is_open(now));
-        let read = open.map(|(id, slot)| (slot.engine.has_read(prompt), *id));
+        let read = open.map(|(id, slot)| (slot.engine.copyable_tokens(prompt), *id));
         let (tokens, endpoint) = read.max_by_key(|(tokens, _)| *tokens)?;
         (tokens > 0).then_some(Source {
             endpoint,
             tokens,
-            rate: self.copy_rate,
+            tokens_per_s: self.copy_rate,
         })
     }
 }
@@ -202,28 +208,29 @@
         &self,
         now: Millis,
         id: EndpointId,
-        wish: &Wish,
+        criteria: &Criteria,
         source: Option<Source>,
         claimed: u64,
     ) -> Estimate {
         let engine = &self.engine;
-        let missing = engine.missing(&wish.prompt);
-        let copied = source.map_or(0, |s| s.gain(&wish.prompt, missing));
+        let missing = engine.uncached_tokens(&criteria.prompt);
+        let copied = source.map_or(0, |s| s.gain(&criteria.prompt, missing));
         let copying_us = source.map_or(0, |s| s.copying_us(copied));
-        let aim_ms = wish.aim_ms.min(AIM_MAX_MS);
+        let aim_ms = criteria.aim_ms.min(AIM_MAX_MS);
         let worth_us = u64::from(copied > 0) * aim_ms * 10 * COPY_WORTH_PERCENT;
         let to_read = missing - copied;
-        let answer_us = engine.expected_us(now, id, &wish.prompt, to_read, claimed) + copying_us;
-        let risk_us = self.reliability.failed(now) * aim_ms * FAILURE_AIMS;
+        let answer_us =
+            engine.expected_us(now, id, &criteria.prompt, to_read, claimed) + copying_us;
+        let risk_us = self.reliability.failure_permille(now) * aim_ms * FAILURE_AIMS;
         let batch_us = u64::from(self.running) * BATCH_US;
-        let busy_us = engine.reading_us(engine.unread());
+        let busy_us = engine.prefill_us(engine.pending_tokens());
         let wait_us = answer_us + worth_us + risk_us + batch_us + busy_us;
-        let work_us = engine.reading_us(to_read) + copying_us;
-        let in_time = answer_us * 100 <= wish.slack_ms * 1000 * IN_TIME_PERCENT;
+        let work_us = engine.prefill_us(to_read) + copying_us;
+        let in_time = answer_us * 100 <= criteria.slack_ms * 1000 * IN_TIME_PERCENT;
         Estimate {
             id,
             rank: (
-                wish.avoid == Some(id) || !in_time,
+                criteria.avoid == Some(id) || !in_time,
                 wait_us + WORK_WEIGHT * work_us,
             ),
             to_read,
--- a/components/node/src/front/listen.rs
+++ b/components/node/src/front/listen.rs
@@ -15,7 +15,7 @@
 use crate::vitals::{Lateness, PROBE};
 use coordination::budget::Budget;
 use coordination::intake::Intake;
-use coordination::limit::Ceiling;
+use coordination::limit::Window;
 use coordination::retry;
 use http_body_util::BodyExt;
 use hyper::service::service_fn;
@@ -102,7 +102,7 @@
     /// Which of them rest.
     guests: Arc<Guests>,
     /// Lines that tell of one request refused while tasks run late.
-    busy_lines: Mutex<Ceiling>,
+    busy_lines: Mutex<Window>,
     /// Requests that were answered whole of late.
     pub(super) successes: Mutex<Successes>,
 }
@@ -116,7 +116,7 @@
             bodies: Arc::new(Semaphore::new(units)),
             body_units: units,
             places: Arc::new(Semaphore::new(parts.budget.connections)),
-            busy_lines: Mutex::new(Ceiling::new(BUSY_LINES)),
+            busy_lines: Mutex::new(Window::new(BUSY_LINES)),
             successes: Mutex::default(),
             pool: Arc::new(Pool::new(parts.budget.kept)),
             guests: Guests::new(parts.clock.clone()),
--- a/components/node/src/front/plan.rs
+++ b/components/node/src/front/plan.rs
@@ -212,8 +212,8 @@
 /// What is known of the prompt; the start of the body stands in for it where the
 /// caller says nothing.
 fn prompt(asked: &Asked, service: &Service, call: &Call) -> Prompt {
-    if asked.prompt.first() == 0 {
-        return Prompt::of_prefix(prefix(&call.body));
+    if asked.prompt.first_key() == 0 {
+        return Prompt::from_prefix_key(prefix(&call.body));
     }
     let mut prompt = asked.prompt;
     if prompt.output == 0 && service.engine.is_some() {
--- a/components/node/src/schedulers.rs
+++ b/components/node/src/schedulers.rs
@@ -86,9 +86,9 @@
             let event = Event::new(Step::SchedulerBegan).service(shard.service);
             self.journal.note(event.epoch(epoch));
             let mut scheduler = Scheduler::new(epoch, now);
-            scheduler.batch();
+            scheduler.enable_batching();
             if self.inquiries.is_some() {
-                scheduler.allow_inquiry();
+                scheduler.enable_inventory_requests();
             }
             let assigned = Assigned {
                 shard,
@@ -162,7 +162,7 @@
         for assigned in self.all.values_mut() {
             // It stays known by its router, whose next hello settles its requests.
             if let Some(session) = assigned.sessions.get(vm) {
-                assigned.scheduler.close(now, *session);
+                assigned.scheduler.close_session(now, *session);
             }
         }
     }
@@ -178,7 +178,7 @@
             if others.is_empty() {
                 continue;
             }
-            let served = assigned.scheduler.tell_served();
+            let served = assigned.scheduler.take_served();
             all.extend(others.into_iter().map(|to| (to.clone(), served.clone())));
         }
         all
@@ -189,7 +189,7 @@
     pub(crate) fn kept(&mut self, view: &View) -> Vec<(Assignment, Vec<Kept>)> {
         let mut all = Vec::new();
         for assigned in self.all.values_mut() {
-            let fresh = assigned.scheduler.tell_kept();
+            let fresh = assigned.scheduler.take_new_cached();
             if view.is_partial() {
                 // Others do not know where these engines are.
                 continue;
@@ -205,7 +205,7 @@
                 .retain(|e| others.iter().any(|a| a.epoch == *e));
             for to in others {
                 let kept = match assigned.told.insert(to.epoch) {
-                    true => assigned.scheduler.all_kept(),
+                    true => assigned.scheduler.all_cached(),
                     false => fresh.clone(),
                 };
                 if !kept.is_empty() {
@@ -226,7 +226,7 @@
             };
             let mut others = view.assignments.iter().filter(is_other);
             if others.any(|a| a.place.vm == *from) {
-                assigned.scheduler.hear_kept(kept);
+                assigned.scheduler.merge_cached(kept);
             }
         }
     }
@@ -239,7 +239,7 @@
         for assigned in self.all.values_mut() {
             let other = assigned.shard != assignment.shard;
             if other && assigned.shard.service == assignment.shard.service {
-                assigned.scheduler.hear_served(served);
+                assigned.scheduler.merge_served(served);
             }
         }
     }
@@ -252,7 +252,7 @@
     /// Takes an endpoint's load report.
     pub(crate) fn load(&mut self, now: Millis, endpoint: EndpointId, load: u32) {
         for assigned in self.all.values_mut() {
-            assigned.scheduler.slots().report(now, endpoint, load);
+            assigned.scheduler.slots().report_load(now, endpoint, load);
         }
     }
 
@@ -266,9 +266,10 @@
     ) {
         for assigned in self.all.values_mut() {
             if assigned.endpoints.contains_key(&endpoint) {
-                let effects = assigned
-                    .scheduler
-                    .learn(now, endpoint, told.born, &told.parts);
+                let effects =
+                    assigned
+                        .scheduler
+                        .note_inventory(now, endpoint, told.born, &told.parts);
                 assigned.act(effects, batch, &self.journal, &self.metrics);
             }
         }
@@ -317,7 +318,7 @@
     /// Logs what each scheduler has given to whom, while work waits there.
     fn tell_shares(&mut self, view: &View) {
         for (epoch, assigned) in &mut self.all {
-            let shares = assigned.scheduler.take_shares();
+            let shares = assigned.scheduler.take_usage();
             if assigned.scheduler.waiting() == 0 {
                 continue;
             }
@@ -340,22 +341,22 @@
     /// Logs what each scheduler believes.
     fn tell_beliefs(&self, view: &View) {
         for (epoch, assigned) in &self.all {
-            let belief = assigned.scheduler.belief();
+            let summary = assigned.scheduler.summary();
             tracing::info!(
                 event = Line::SchedulerState.as_str(),
                 service = view.config.service_name(assigned.shard.service),
                 region = assigned.shard.region.as_str(),
                 data_centre = assigned.shard.data_centre.as_ref().map(Name::as_str),
                 epoch = epoch.0,
-                waiting = belief.waiting,
-                running = belief.running,
-                customers = belief.customers,
-                unread = belief.unread,
-                slowest = belief.slowest,
-                fastest = belief.fastest,
-                pace = belief.pace,
-                refused = belief.refused,
-                granted = belief.granted,
+                waiting = summary.waiting,
+                running = summary.running,
+                customers = summary.customers,
+                unread = summary.unread_tokens,
+                slowest = summary.slowest_tokens_per_s,
+                fastest = summary.fastest_tokens_per_s,
+                pace = summary.cost_per_s,
+                refused = summary.refused,
+                granted = summary.granted,
             );
         }
     }
@@ -393,7 +394,7 @@
     fn report(&mut self, now: Millis, vm: &Name, report: Report, metrics: &Metrics) -> Effects {
         let session = self.sessions.get(vm).copied();
         if let Report::Hello(hello) = report {
-            let opened = self.scheduler.open(now, session, &hello);
+            let opened = self.scheduler.open_session(now, session, &hello);
             self.sessions.insert(vm.clone(), opened);
             if let Some(older) = session {
                 self.routers.remove(&older);
@@ -408,7 +409,7 @@
         if matches!(report, Report::Return(_)) {
             metrics.returns.inc();
         }
-        self.scheduler.take(now, session, report)
+        self.scheduler.handle_report(now, session, report)
     }
 
     /// Logs a change of an endpoint's health.
@@ -445,7 +446,7 @@
                         batch.refuse(vm, refusal);
                     }
                 }
-                Effect::Inquire(endpoint) => {
+                Effect::RequestInventory(endpoint) => {
                     let address = self.endpoints.get(&endpoint).map(|e| e.address);
                     let unknown = address.map(|address| Unknown { endpoint, address });
                     if let (Some(unknown), Some(inquiries)) = (unknown, &self.inquiries) {
--- a/src/cmd/log.rs
+++ b/src/cmd/log.rs
@@ -1,6 +1,6 @@
 //! Logs to standard output, which never hold the process up.
 
-use coordination::limit::Ceiling;
+use coordination::limit::Window;
 use flume::{Receiver, Sender};
 use settings::Log;
 use state::clock::Millis;
@@ -36,7 +36,7 @@
     let output = Output {
         sender,
         dropped: dropped.clone(),
-        ceiling: Arc::new(Mutex::new(Ceiling::new(LINES_A_SECOND))),
+        ceiling: Arc::new(Mutex::new(Window::new(LINES_A_SECOND))),
         began: Instant::now(),
     };
     let lines = tracing_subscriber::fmt()
@@ -90,7 +90,7 @@
 struct Output {
     sender: Sender<Vec<u8>>,
     dropped: Arc<AtomicU64>,
-    ceiling: Arc<Mutex<Ceiling>>,
+    ceiling: Arc<Mutex<Window>>,
     began: Instant,
 }
 
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -465,7 +465,7 @@
         );
     };
     // Twenty events a call, at weight 1.
-    let each = 20 * coordination::ledger::SCALE;
+    let each = 20 * coordination::ledger::VIRTUAL_PER_COST;
     call("r2");
     // While it runs its customer stands at the level of the others already: only when
     // nothing runs any more has it been settled.
