--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -4,7 +4,7 @@
 //! Engines hold the parts of some hundred requests each; a request shares two
 //! parts and brings one of its own.
 
-use coordination::ask::{Ask, Class, Hello, Seq, Verdict};
+use coordination::messages::{Ask, Class, Hello, Seq, Verdict};
 use coordination::prompt::Prompt;
 use coordination::scheduler::{Effect, Scheduler, Session, GATHER_MS};
 use coordination::slot::{Claims, Slots, Wish};
--- a/components/coordination/src/intake.rs
+++ b/components/coordination/src/admission.rs
@@ -7,10 +7,10 @@
 //! turned away therefore has to cost next to nothing, and what is let in has to be about as
 //! much as can be served.
 
-use crate::overload::{CALM_MS, LATE_MS};
+use crate::overload::{CALM_LATENESS_MS, OVERLOAD_LATENESS_MS};
 
 /// Requests and connections that were let in since a probe, from which on its lateness
-/// is this process's own doing: an eighth of a core takes in about as many in [`LATE_MS`].
+/// is this process's own doing: an eighth of a core takes in about as many in [`OVERLOAD_LATENESS_MS`].
 const BURST: u64 = 32;
 /// Connections that are closed unread between two probes at most: 1,600 a second, which
 /// take a sixth of an eighth of a core.
@@ -29,11 +29,11 @@
     /// Lateness of the last probe, in milliseconds.
     pub last_ms: u64,
     /// That of the one before.
-    pub before_ms: u64,
+    pub previous_ms: u64,
     /// Time since the next one was due, in milliseconds.
     pub overdue_ms: u64,
     /// Requests and connections let in since the last one.
-    pub taken: u64,
+    pub admitted: u64,
 }
 
 impl Probes {
@@ -44,8 +44,8 @@
     /// that is overdue after a burst was let in says it: a flooded router took in 1,000
     /// connections in one round of 370 ms, before a second probe could tell.
     pub fn lateness(&self) -> u64 {
-        let lasting_ms = self.last_ms.min(self.before_ms.max(self.overdue_ms));
-        match self.taken >= BURST {
+        let lasting_ms = self.last_ms.min(self.previous_ms.max(self.overdue_ms));
+        match self.admitted >= BURST {
             true => lasting_ms.max(self.overdue_ms),
             false => lasting_ms,
         }
@@ -53,7 +53,7 @@
 
     /// Lateness that counts of the last probe, once `taken` were let in before it, in
     /// milliseconds: by the same rule.
-    pub fn lasting(last_ms: u64, before_ms: u64, taken: u64) -> u64 {
+    pub fn sustained(last_ms: u64, before_ms: u64, taken: u64) -> u64 {
         match taken >= BURST {
             true => last_ms,
             false => last_ms.min(before_ms),
@@ -63,9 +63,9 @@
 
 /// What a router does with what has just come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Intake {
+pub enum Admission {
     /// It serves it.
-    Take,
+    Admit,
     /// It refuses the request, with the last answer of its connection.
     Refuse,
     /// It closes the connection unread.
@@ -74,19 +74,19 @@
     Wait,
 }
 
-impl Intake {
+impl Admission {
     /// For a connection that waits to be accepted, where `takes` are let in between two
     /// probes.
     ///
     /// Closed unread, a connection costs a few calls of the system, and its caller knows that
     /// nothing was run. Of 10,000 a second even that takes all of the processor: those
     /// beyond a bound are left to the system, which drops them at no cost to this process.
-    pub fn of_connection(late_ms: u64, arrivals: Arrivals, takes: u64) -> Self {
-        let is_let_in = late_ms < LATE_MS && arrivals.taken < takes;
+    pub fn for_connection(late_ms: u64, arrivals: Arrivals, takes: u64) -> Self {
+        let is_let_in = late_ms < OVERLOAD_LATENESS_MS && arrivals.admitted < takes;
         match (is_let_in, arrivals.closed < CLOSES) {
-            (true, _) => Intake::Take,
-            (false, true) => Intake::Close,
-            (false, false) => Intake::Wait,
+            (true, _) => Admission::Admit,
+            (false, true) => Admission::Close,
+            (false, false) => Admission::Wait,
         }
     }
 
@@ -94,10 +94,10 @@
     ///
     /// Its caller learns that it has not run and when to come back. What it sends next
     /// comes on a new connection, to another router once this one is passed over.
-    pub fn of_request(late_ms: u64) -> Self {
-        match late_ms >= LATE_MS {
-            true => Intake::Refuse,
-            false => Intake::Take,
+    pub fn for_request(late_ms: u64) -> Self {
+        match late_ms >= OVERLOAD_LATENESS_MS {
+            true => Admission::Refuse,
+            false => Admission::Admit,
         }
     }
 }
@@ -106,7 +106,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Arrivals {
     /// Those that were let in.
-    pub taken: u64,
+    pub admitted: u64,
     /// Those that were closed unread.
     pub closed: u64,
 }
@@ -117,28 +117,30 @@
 /// accepted all that waited whenever it was calm, and refused most of it after reading.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limit {
-    takes: u64,
+    connections_max: u64,
 }
 
 impl Default for Limit {
     fn default() -> Self {
-        Limit { takes: TAKES_MAX }
+        Limit {
+            connections_max: TAKES_MAX,
+        }
     }
 }
 
 impl Limit {
     /// Takes the lateness that lasts at a probe, and how many connections were let in before it.
     pub fn probe(&mut self, late_ms: u64, taken: u64) {
-        if late_ms >= LATE_MS && taken > 0 {
-            self.takes = (self.takes.min(taken) * 3 / 4).max(TAKES_MIN);
-        } else if late_ms < CALM_MS {
-            let more = (self.takes / GROWTH_PART).max(1);
-            self.takes = (self.takes + more).min(TAKES_MAX);
+        if late_ms >= OVERLOAD_LATENESS_MS && taken > 0 {
+            self.connections_max = (self.connections_max.min(taken) * 3 / 4).max(TAKES_MIN);
+        } else if late_ms < CALM_LATENESS_MS {
+            let more = (self.connections_max / GROWTH_PART).max(1);
+            self.connections_max = (self.connections_max + more).min(TAKES_MAX);
         }
     }
 
     /// Connections that may be let in until the next probe.
-    pub fn takes(&self) -> u64 {
-        self.takes
+    pub fn connections_max(&self) -> u64 {
+        self.connections_max
     }
 }
--- a/components/coordination/src/backoff.rs
+++ b/components/coordination/src/backoff.rs
@@ -34,7 +34,7 @@
     }
 
     /// An endpoint that wants no requests from one router for a time.
-    pub fn resting(endpoint: EndpointId, time: Duration) -> Self {
+    pub fn pausing(endpoint: EndpointId, time: Duration) -> Self {
         let ms = u32::try_from(time.as_millis()).unwrap_or(u32::MAX);
         Backoff {
             endpoint,
@@ -71,7 +71,7 @@
 impl Backoffs {
     /// Takes an endpoint's word; of two, the one that holds longer counts. True if it says
     /// more than was known.
-    pub fn note(&mut self, now: Millis, backoff: &Backoff) -> bool {
+    pub fn record(&mut self, now: Millis, backoff: &Backoff) -> bool {
         let until = now.after(u64::from(backoff.ms));
         if until <= now {
             return false;
@@ -118,7 +118,7 @@
     }
 
     /// All backoffs with the time that is left of them, for a scheduler that knows none.
-    pub fn told(&self, now: Millis) -> Vec<Backoff> {
+    pub fn remaining(&self, now: Millis) -> Vec<Backoff> {
         let all = self.all.iter();
         all.filter_map(|(endpoint, entry)| entry.left(now, *endpoint))
             .collect()
--- a/components/coordination/src/budget.rs
+++ b/components/coordination/src/budget.rs
@@ -42,9 +42,9 @@
 
 /// What a VM has for one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Vm {
+pub struct Resources {
     /// Memory in bytes.
-    pub memory: u64,
+    pub memory_bytes: u64,
     /// Files and sockets that may be open.
     pub descriptors: u64,
 }
@@ -57,12 +57,12 @@
     /// Bytes of bodies that arrive, wait or run.
     pub body_bytes: u64,
     /// Idle connections kept to endpoints.
-    pub kept: usize,
+    pub idle_connections: usize,
 }
 
-impl From<Vm> for Budget {
-    fn from(vm: Vm) -> Self {
-        let planned = vm.memory * PLANNED / 100;
+impl From<Resources> for Budget {
+    fn from(vm: Resources) -> Self {
+        let planned = vm.memory_bytes * PLANNED / 100;
         let free = planned.saturating_sub(REST);
         let body_bytes = free * BODIES / 100;
         let kept_bytes = free * KEPT / 100;
@@ -74,7 +74,7 @@
         Budget {
             connections: count(by_memory.min(by_descriptors)),
             body_bytes,
-            kept: count((kept_bytes / KEPT_CONNECTION).min(sockets * KEPT / 100)),
+            idle_connections: count((kept_bytes / KEPT_CONNECTION).min(sockets * KEPT / 100)),
         }
     }
 }
@@ -90,7 +90,7 @@
     }
 
     /// Whether an answer should close its connection, with so many open.
-    pub fn is_scarce(self, connections: usize) -> bool {
+    pub fn is_nearly_full(self, connections: usize) -> bool {
         connections.saturating_mul(100) >= self.connections.saturating_mul(CLOSE_FROM)
     }
 }
--- a/components/coordination/src/candidacy.rs
+++ b/components/coordination/src/candidacy.rs
@@ -24,7 +24,7 @@
 
 /// What a VM knows of the schedulers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Known {
+pub struct Status {
     /// Whether it schedules itself.
     pub is_assigned: bool,
     /// Whether a shard is without a scheduler, or one cannot be reached.
@@ -56,7 +56,7 @@
     }
 
     /// Whether it stands now.
-    pub fn stands(&mut self, now: Millis, known: Known) -> bool {
+    pub fn is_candidate(&mut self, now: Millis, known: Status) -> bool {
         self.unscheduled = match known.is_unscheduled {
             true => self.unscheduled.or(Some(now)),
             false => None,
@@ -71,7 +71,7 @@
     ///
     /// Before the routers are counted all stand: if the first few alone did so, they would be
     /// assigned all shards, wherever these are.
-    fn is_drawn(&self, known: &Known) -> bool {
+    fn is_drawn(&self, known: &Status) -> bool {
         // CAST: shards are far below 2^64.
         let candidates = CANDIDATES.max(known.shards as u64 * CANDIDATES_EACH);
         let is_drawn = |routers: u32| self.lot % u64::from(routers.max(1)) < candidates;
@@ -79,7 +79,7 @@
     }
 
     /// Whether it is its turn, since nobody schedules.
-    fn volunteers(&self, now: Millis, known: &Known) -> bool {
+    fn volunteers(&self, now: Millis, known: &Status) -> bool {
         let routers = u64::from(known.routers.unwrap_or(1));
         let spread_ms = SPREAD_MS.max(routers * VOLUNTEER_MS);
         let turn_ms = (self.lot >> 32) % spread_ms;
--- a/components/coordination/src/dispatcher/backoff.rs
+++ b/components/coordination/src/dispatcher/backoff.rs
@@ -2,9 +2,9 @@
 
 use super::queue::Stage;
 use super::{endpoints, Dispatcher, Effect, Effects, Handle};
-use crate::ask::Seq;
 use crate::backoff::Backoff;
 use crate::dispatcher::local::LOCAL;
+use crate::messages::Seq;
 use crate::prelude::*;
 use state::view::Shard;
 
@@ -21,7 +21,7 @@
     /// more than was known.
     pub fn backoff(&mut self, now: Millis, handle: Handle, backoff: Backoff) -> (bool, Effects) {
         let mut effects = Effects::new();
-        let is_news = self.backoffs.note(now, &backoff);
+        let is_news = self.backoffs.record(now, &backoff);
         let shard = self.requests.get(handle).map(|r| r.shard.clone());
         if let Some(shard) = shard.filter(|_| is_news) {
             self.tell(now, &shard, Report::Backoff(backoff), &mut effects);
--- a/components/coordination/src/dispatcher/local.rs
+++ b/components/coordination/src/dispatcher/local.rs
@@ -6,7 +6,7 @@
 use state::view::Shard;
 
 /// Time without a scheduler after which the dispatcher grants itself, in milliseconds.
-pub const LOCAL_MS: u64 = 300;
+pub const LOCAL_AFTER_MS: u64 = 300;
 
 /// The epoch of a dispatcher that schedules for itself; assignments begin at 1.
 pub(super) const LOCAL: Epoch = Epoch(0);
@@ -36,7 +36,7 @@
         effects: &mut Effects,
     ) {
         let held = self.renumber(shard);
-        let backoff = self.backoffs.told(now);
+        let backoff = self.backoffs.remaining(now);
         let Some(session) = self.sessions.get_mut(shard) else {
             return;
         };
--- a/components/coordination/src/dispatcher/mod.rs
+++ b/components/coordination/src/dispatcher/mod.rs
@@ -10,20 +10,20 @@
 mod session;
 mod spread;
 
-pub use self::local::LOCAL_MS;
-pub use self::queue::WINDOW;
-pub use self::remote::{REMOTES, REMOTE_MS};
-pub use self::session::HELLO_AGAIN_MS;
-pub use self::spread::Home;
+pub use self::local::LOCAL_AFTER_MS;
+pub use self::queue::ASK_WINDOW;
+pub use self::remote::{REMOTE_AFTER_MS, REMOTE_ASKS_MAX};
+pub use self::session::HELLO_RETRY_MS;
+pub use self::spread::Location;
 
 use self::queue::{Queue, Request, Stage};
 use self::session::Session;
 use self::spread::{Spread, State};
-use crate::ask::Placement;
 use crate::backoff::Backoffs;
-use crate::homes::Homes;
+use crate::messages::Placement;
 use crate::overload::HotSpot;
 use crate::prelude::*;
+use crate::regions::Regions;
 use crate::slot::Slots;
 use slotmap::SlotMap;
 use state::view::{Assignment, Shard};
@@ -40,7 +40,7 @@
 /// Part of its aim for which the first of a class may wait to be asked for, before
 /// newcomers of the class are turned away.
 ///
-/// The scheduler knows of [`WINDOW`] requests of a class, and refuses what would be late of
+/// The scheduler knows of [`ASK_WINDOW`] requests of a class, and refuses what would be late of
 /// them; what waits behind them it does not see. Bounded by a number alone, 512 of each
 /// kind waited 1.5 s here to be refused then.
 const STUCK_PART: u64 = 4;
@@ -73,7 +73,7 @@
     /// Bytes that it keeps in memory while it waits.
     pub bytes: u64,
     /// Regions in which it may be served.
-    pub homes: Homes,
+    pub regions: Regions,
     /// When its caller counts the first byte of an answer as late.
     pub aim: Millis,
     /// When it is given up.
@@ -82,7 +82,7 @@
 
 /// Why a request cannot wait here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Full {
+pub enum Rejection {
     /// Its customer has too many waiting.
     Customer,
     /// The router has too many waiting, or too many bytes.
@@ -150,7 +150,7 @@
 
 impl Dispatcher {
     /// A dispatcher without requests.
-    pub fn new(home: Home, bounds: Bounds) -> Self {
+    pub fn new(home: Location, bounds: Bounds) -> Self {
         Dispatcher {
             incarnation: home.incarnation,
             spread: Spread::new(home),
@@ -214,7 +214,7 @@
     }
 
     /// The same, once a scheduler has told.
-    pub fn routers_told(&self) -> Option<u32> {
+    pub fn routers_reported(&self) -> Option<u32> {
         let told = self.sessions.values().filter(|s| s.is_counted);
         told.map(|s| s.routers).max()
     }
@@ -239,43 +239,43 @@
     ///
     /// # Errors
     ///
-    /// [`Full`] when a bound is reached or nothing serves the request.
+    /// [`Rejection`] when a bound is reached or nothing serves the request.
     pub fn arrive(
         &mut self,
         now: Millis,
         view: &View,
         arrival: Arrival,
-    ) -> Result<(Handle, Effects), Full> {
+    ) -> Result<(Handle, Effects), Rejection> {
         if self.spread.is_empty() {
             self.spread.follow(view);
         }
         let shard = self.shard(now, &arrival).cloned();
-        let shard = shard.ok_or(Full::NoEndpoint)?;
+        let shard = shard.ok_or(Rejection::NoEndpoint)?;
         let full = self.bytes.saturating_add(arrival.bytes) > self.bounds.bytes;
         if full || self.waiting >= self.bounds.requests {
-            return Err(Full::Router);
+            return Err(Rejection::Router);
         }
         if let Some(until) = self
             .unavailable_until(now, &shard)
             .filter(|u| *u > arrival.aim)
         {
             let after_ms = u32::try_from(until.since(now)).unwrap_or(u32::MAX);
-            return Err(Full::Late { after_ms });
+            return Err(Rejection::Late { after_ms });
         }
         let session = self.sessions.get(&shard);
         if let Some(after_ms) = session.and_then(|s| s.turned_away(now, arrival.class)) {
-            return Err(Full::Late { after_ms });
+            return Err(Rejection::Late { after_ms });
         }
         let queue = self
             .classes
             .entry((arrival.service, arrival.class))
             .or_default();
         if queue.count >= arrival.queue {
-            return Err(Full::Customer);
+            return Err(Rejection::Customer);
         }
         let first = queue.waiting.front().and_then(|h| self.requests.get(*h));
         if first.is_some_and(|r| self.waits_in_vain(now, r, STUCK_PART)) {
-            return Err(Full::Customer);
+            return Err(Rejection::Customer);
         }
         let request = Request {
             arrival,
@@ -303,10 +303,10 @@
     /// A grant may have come at the same moment: the caller has gone without
     /// taking it, and nothing was sent. Its slot must be given back, or it would
     /// stay taken for good, seen as a request in progress that no endpoint has.
-    pub fn leave(&mut self, now: Millis, handle: Handle) -> Effects {
+    pub fn cancel(&mut self, now: Millis, handle: Handle) -> Effects {
         let held = |r: &Request| matches!(r.stage, Stage::Held { .. });
         if self.requests.get(handle).is_some_and(held) {
-            return self.done(now, handle, 0, Verdict::Gone);
+            return self.done(now, handle, 0, Verdict::Cancelled);
         }
         let mut effects = Effects::new();
         self.drop_waiting(now, handle, &mut effects);
@@ -320,7 +320,7 @@
     }
 
     /// Queues a dispatched request again, after a failed try.
-    pub fn again(&mut self, now: Millis, handle: Handle, verdict: Verdict) -> Effects {
+    pub fn requeue(&mut self, now: Millis, handle: Handle, verdict: Verdict) -> Effects {
         let mut effects = Effects::new();
         let Some(request) = self.requests.get_mut(handle) else {
             return effects;
@@ -384,7 +384,7 @@
             return effects;
         };
         let Stage::Held { seq, .. } = request.stage else {
-            return self.leave(now, handle);
+            return self.cancel(now, handle);
         };
         let shard = request.shard.clone();
         let arrival = request.arrival;
@@ -465,7 +465,7 @@
     ///
     /// Opened when the first request comes, hundreds of routers would open theirs at the moment
     /// at which a flood or the end of an outage brings work.
-    pub fn open_near(&mut self, now: Millis, view: &View) {
+    pub fn open_nearby(&mut self, now: Millis, view: &View) {
         for shard in self.spread.near(view) {
             if view.assignment(&shard).is_some() {
                 self.ensure(now, view, &shard);
@@ -500,7 +500,7 @@
                 .as_ref()
                 .is_some_and(|s| s.epoch == epoch)
             {
-                session.hello_at = Some(now.after(HELLO_AGAIN_MS));
+                session.hello_at = Some(now.after(HELLO_RETRY_MS));
             }
         }
     }
@@ -522,7 +522,7 @@
         self.refuse_unasked(now, &mut effects);
         self.follow_backoffs(now, view, &mut effects);
         let usual = self.usual();
-        self.hot_spot.look(self.held(), usual);
+        self.hot_spot.update(self.held(), usual);
         let shards: Vec<Shard> = self.sessions.keys().cloned().collect();
         for shard in shards {
             self.tick_session(now, view, &shard, &mut effects);
--- a/components/coordination/src/dispatcher/queue.rs
+++ b/components/coordination/src/dispatcher/queue.rs
@@ -4,14 +4,14 @@
 use super::session::Session;
 use super::{Arrival, Dispatcher, Effect, Effects, Handle};
 use super::{UNASKED_PART, UNASKED_RETURN_MS};
-use crate::ask::{Placement, Seq};
+use crate::messages::{Placement, Seq};
 use crate::prelude::*;
 use state::view::Shard;
 use std::collections::VecDeque;
 
 /// Asks of one class that may be out at once; the rest wait for their turn, so
 /// that a flood on one router costs its scheduler no memory.
-pub const WINDOW: u32 = 32;
+pub const ASK_WINDOW: u32 = 32;
 
 /// Waiting requests of a class among which one is sought whose scheduler can be asked.
 const LOOK: usize = 32;
@@ -167,7 +167,7 @@
             let Some(queue) = self.classes.get_mut(&(service, class)) else {
                 return;
             };
-            if queue.asked >= WINDOW {
+            if queue.asked >= ASK_WINDOW {
                 return;
             }
             let can_ask = |handle: &Handle| {
@@ -259,7 +259,7 @@
             let memory = session.known.entry(customer).or_default();
             memory.level = memory.level.max(grant.level);
             session.floor = session.floor.max(grant.floor);
-            let wait_ms = request.waited(now) + u64::from(grant.basis.ahead_ms);
+            let wait_ms = request.waited(now) + u64::from(grant.forecast.ahead_ms);
             session.note_wait(now, customer, wait_ms);
         }
         request.stage = Stage::Held {
@@ -270,7 +270,7 @@
         request.placement = Placement {
             epoch: grant.epoch,
             copy_from: grant.copy_from,
-            basis: grant.basis,
+            forecast: grant.forecast,
             unasked_ms: u32::try_from(request.asked_at.since(request.since)).unwrap_or(u32::MAX),
         };
         let arrival = request.arrival;
--- a/components/coordination/src/dispatcher/remote.rs
+++ b/components/coordination/src/dispatcher/remote.rs
@@ -3,17 +3,17 @@
 use super::local::mix;
 use super::queue::{aim_ms, Request, Stage};
 use super::{Dispatcher, Effects, Handle};
-use crate::ask::Seq;
+use crate::messages::Seq;
 use crate::prelude::*;
 use state::view::Shard;
 
 /// Wait after which a request is asked for in another region too, in
 /// milliseconds. Asked for at once, slots of another region would be granted
 /// and given back all the time.
-pub const REMOTE_MS: u64 = 250;
+pub const REMOTE_AFTER_MS: u64 = 250;
 
 /// Requests asked for in other regions at once.
-pub const REMOTES: usize = 64;
+pub const REMOTE_ASKS_MAX: usize = 64;
 
 impl Dispatcher {
     /// Asks other regions for requests that have waited here for a while.
@@ -25,12 +25,12 @@
             .count();
         let waits = |r: &Request| {
             let asked = matches!(r.stage, Stage::Asked(_));
-            asked && r.remote.is_none() && now.since(r.since) >= REMOTE_MS
+            asked && r.remote.is_none() && now.since(r.since) >= REMOTE_AFTER_MS
         };
         let long: Vec<Handle> = (self.requests.iter())
             .filter(|(_, r)| waits(r))
             .map(|(handle, _)| handle)
-            .take(REMOTES.saturating_sub(remote))
+            .take(REMOTE_ASKS_MAX.saturating_sub(remote))
             .collect();
         for handle in long {
             self.ask_guest(now, view, handle, effects);
@@ -52,7 +52,7 @@
         let others: SmallVec<[Shard; 7]> = (view.assignments.iter())
             .map(|assignment| &assignment.shard)
             .filter(|s| s.service == home.service && s.region != home.region)
-            .filter(|s| arrival.homes.allow(&s.region))
+            .filter(|s| arrival.regions.contains(&s.region))
             .filter(|s| self.spread.open(s) > 0)
             .cloned()
             .collect();
--- a/components/coordination/src/dispatcher/session.rs
+++ b/components/coordination/src/dispatcher/session.rs
@@ -1,12 +1,12 @@
 //! Sessions with schedulers, and what is remembered from one to the next.
 
-use super::local::LOCAL_MS;
+use super::local::LOCAL_AFTER_MS;
 use super::queue::Stage;
 use super::spread::{State, Wait};
 use super::{Dispatcher, Effect, Effects, Handle};
-use crate::ask::{Hello, Kept, Seq};
 use crate::backoff::Backoff;
 use crate::ledger::virtual_cost;
+use crate::messages::{Cached, Hello, Seq};
 use crate::prelude::*;
 use crate::prompt::UNSHARED;
 use crate::scheduler::{Scheduler, Session as LocalSession};
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Time before a refused hello is sent again, in milliseconds.
-pub const HELLO_AGAIN_MS: u64 = 50;
+pub const HELLO_RETRY_MS: u64 = 50;
 
 /// Time for which newcomers of a class are refused as one of it was, in milliseconds: short
 /// beside the 300 ms after which a refused caller comes back at the earliest.
@@ -68,23 +68,23 @@
     /// come back.
     turned: BTreeMap<Class, (Millis, u32)>,
     /// Parts of prompts that were sent last.
-    sent: VecDeque<Kept>,
+    sent: VecDeque<Cached>,
 }
 
 impl Session {
     /// The hello that tells what this router holds and remembers.
     pub(super) fn introduce(&self, held: Vec<Held>, backoff: Vec<Backoff>) -> Hello {
-        let known = self.known.iter().map(|(customer, memory)| Known {
+        let known = self.known.iter().map(|(customer, memory)| Usage {
             customer: *customer,
             level: memory.level,
             spent: memory.spent,
         });
         Hello {
             held,
-            known: known.collect(),
-            telling: self.telling,
+            usage: known.collect(),
+            usage_id: self.telling,
             floor: self.floor,
-            kept: self.sent.iter().copied().collect(),
+            cached: self.sent.iter().copied().collect(),
             backoff,
         }
     }
@@ -99,7 +99,7 @@
             return;
         }
         for part in prompt.parts().filter(|p| p.key != UNSHARED) {
-            let kept = Kept { endpoint, part };
+            let kept = Cached { endpoint, part };
             self.sent.retain(|k| *k != kept);
             self.sent.push_back(kept);
         }
@@ -229,7 +229,7 @@
         if session.up {
             return;
         }
-        if session.local.is_none() && now.since(session.down_since) >= LOCAL_MS {
+        if session.local.is_none() && now.since(session.down_since) >= LOCAL_AFTER_MS {
             self.schedule_locally(now, view, shard, effects);
             return;
         }
@@ -344,7 +344,7 @@
 
     pub(super) fn hello(&mut self, now: Millis, shard: &Shard, effects: &mut Effects) {
         let held = self.renumber(shard);
-        let backoff = self.backoffs.told(now);
+        let backoff = self.backoffs.remaining(now);
         let Some(session) = self.sessions.get_mut(shard) else {
             return;
         };
--- a/components/coordination/src/dispatcher/spread.rs
+++ b/components/coordination/src/dispatcher/spread.rs
@@ -37,7 +37,7 @@
 
 /// Where a router stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Home {
+pub struct Location {
     /// Its region.
     pub region: Name,
     /// Its data centre.
@@ -120,7 +120,7 @@
 /// The shards of each service.
 #[derive(Clone, Debug)]
 pub(super) struct Spread {
-    home: Home,
+    home: Location,
     /// All that have endpoints, in any region.
     shards: BTreeSet<Shard>,
     /// Those with endpoints that take work.
@@ -130,7 +130,7 @@
 }
 
 impl Spread {
-    pub(super) fn new(home: Home) -> Self {
+    pub(super) fn new(home: Location) -> Self {
         Spread {
             home,
             shards: BTreeSet::new(),
@@ -257,7 +257,7 @@
         F: Fn(&Shard) -> State,
     {
         let all = self.candidates.get(&arrival.service).into_iter().flatten();
-        let allowed = all.filter(|c| arrival.homes.allow(&c.shard.region));
+        let allowed = all.filter(|c| arrival.regions.contains(&c.shard.region));
         let mut order: SmallVec<[&Candidate; 8]> = allowed.collect();
         keep_one_region(&mut order, &self.home.region);
         self.keep_within_reach(&mut order);
--- a/components/coordination/src/engine/mod.rs
+++ b/components/coordination/src/engine/mod.rs
@@ -11,7 +11,7 @@
 pub use self::clock::{Expected, Phase, Speed};
 
 use self::clock::Clock;
-use crate::ask::Basis;
+use crate::messages::Forecast;
 use crate::prelude::*;
 use crate::prompt::{mix, Part, Prompt};
 use std::collections::{BTreeSet, HashMap};
@@ -126,9 +126,9 @@
     }
 
     /// What to tell of it in logs.
-    pub fn basis(&self) -> Basis {
+    pub fn basis(&self) -> Forecast {
         let tokens = |n: u64| u32::try_from(n).unwrap_or(u32::MAX);
-        Basis {
+        Forecast {
             to_read: tokens(self.to_read()),
             ahead_ms: tokens(self.expected.ahead_us / 1000),
             first_ms: tokens(self.expected.first_us / 1000),
--- a/components/coordination/src/returns.rs
+++ b/components/coordination/src/failback.rs
@@ -11,18 +11,18 @@
 
 /// The ends of evacuations that this process has followed.
 #[derive(Clone, Debug, Default)]
-pub struct Returns {
+pub struct Failbacks {
     /// Version that ended the evacuation of a data centre, and when that was followed here.
     seen: BTreeMap<Name, (Version, Option<Millis>)>,
 }
 
-impl Returns {
+impl Failbacks {
     /// Adds to a view that endpoints which are back from an evacuation count as cold, for as
     /// long as one of their service stays so.
     ///
     /// A process that has just started, and does not know when the evacuation ended, goes by
     /// the wall clock, `wall` in microseconds.
-    pub fn follow(&mut self, now: Millis, wall: u64, view: &mut View) {
+    pub fn mark_cold(&mut self, now: Millis, wall: u64, view: &mut View) {
         for (data_centre, evacuation) in &view.evacuations {
             let version = evacuation.version;
             if self
--- a/components/coordination/src/lib.rs
+++ b/components/coordination/src/lib.rs
@@ -3,8 +3,8 @@
 //! Nothing here opens a socket, starts a thread, reads a clock or draws a
 //! random number, so that every decision can be driven by a test.
 
+pub mod admission;
 pub mod agree;
-pub mod ask;
 pub mod assignment;
 pub mod backoff;
 pub mod budget;
@@ -12,22 +12,22 @@
 pub mod cell;
 pub mod dispatcher;
 pub mod engine;
+pub mod failback;
 pub mod health;
-pub mod homes;
-pub mod intake;
+pub mod idle;
 pub mod ledger;
 pub mod limit;
 pub mod listing;
+pub mod messages;
 pub mod overload;
 pub mod platform;
 pub mod prelude;
 pub mod prompt;
 pub mod ramp;
 pub mod recent;
+pub mod regions;
 pub mod reliability;
-pub mod rest;
 pub mod retry;
-pub mod returns;
 pub mod rule;
 pub mod scheduler;
 pub mod slot;
--- a/components/coordination/src/ask.rs
+++ b/components/coordination/src/messages.rs
@@ -77,14 +77,15 @@
     /// The endpoint could not be reached or broke off.
     Failed,
     /// The caller went away; nothing is known of the endpoint.
-    Gone,
+    #[serde(rename = "gone")]
+    Cancelled,
     /// The endpoint answered that it has failed.
     Error,
 }
 
 /// What a router knows of a customer's service, for a new scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct Usage {
     /// Customer.
     pub customer: CustomerId,
     /// Virtual service over the whole fleet, as the last grant told it.
@@ -95,7 +96,7 @@
 
 /// A part of a prompt that a router has sent to a model engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct Cached {
     /// Engine.
     pub endpoint: EndpointId,
     /// The part.
@@ -109,14 +110,17 @@
     /// Requests in progress.
     pub held: Vec<Held>,
     /// What this router knows of customers' service.
-    pub known: Vec<Known>,
+    #[serde(rename = "known")]
+    pub usage: Vec<Usage>,
     /// Changes each time that what was spent has been counted: what hellos of one telling say
     /// of it is the same spending.
-    pub telling: u64,
+    #[serde(rename = "telling")]
+    pub usage_id: u64,
     /// Largest floor that a grant has told.
     pub floor: u64,
     /// What engines have of the prompts that were sent last.
-    pub kept: Vec<Kept>,
+    #[serde(rename = "kept")]
+    pub cached: Vec<Cached>,
     /// Endpoints that want no requests of this router.
     pub backoff: Vec<Backoff>,
 }
@@ -171,7 +175,7 @@
 
 /// What a scheduler knew of an engine when it granted a request, for logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Basis {
+pub struct Forecast {
     /// Tokens of the prompt that the engine has to read.
     pub to_read: u32,
     /// Time until it begins to read them, in milliseconds.
@@ -188,7 +192,7 @@
     /// Engine from which another is to copy what it has not kept of the prompt.
     pub copy_from: Option<EndpointId>,
     /// What decided.
-    pub basis: Basis,
+    pub forecast: Forecast,
     /// Time for which it waited before its scheduler was asked, in milliseconds.
     pub unasked_ms: u32,
 }
@@ -205,7 +209,8 @@
     /// Engine from which it is to copy what it has not kept of the prompt.
     pub copy_from: Option<EndpointId>,
     /// What decided.
-    pub basis: Basis,
+    #[serde(rename = "basis")]
+    pub forecast: Forecast,
     /// Virtual service of the customer, without requests in progress.
     pub level: u64,
     /// Level below which no customer that waits is.
--- a/components/coordination/src/overload.rs
+++ b/components/coordination/src/overload.rs
@@ -10,10 +10,10 @@
 
 /// Lateness from which on requests are refused, in milliseconds: a third of the shortest
 /// time to an answer that callers count as good, 150 ms, leaves room for the rest.
-pub const LATE_MS: u64 = 40;
+pub const OVERLOAD_LATENESS_MS: u64 = 40;
 /// Mean lateness below which a router that turned callers away takes them again, in
 /// milliseconds: half, so that it does not change its mind with each burst.
-pub(crate) const CALM_MS: u64 = 20;
+pub(crate) const CALM_LATENESS_MS: u64 = 20;
 /// Time over which the mean is taken, in milliseconds: a burst that is over within it is
 /// met by refusals alone.
 const MEMORY_MS: u64 = 400;
@@ -26,7 +26,7 @@
 const SAMPLE_MAX_MS: u64 = 200;
 /// Lateness for which a router counts without room for another connection, in
 /// milliseconds: whoever comes is closed at once.
-const FULL_MS: u64 = 2 * LATE_MS;
+const FULL_MS: u64 = 2 * OVERLOAD_LATENESS_MS;
 /// Least time for which new connections are turned away, in milliseconds. Whoever sends
 /// them asks once a second and takes two misses.
 const AWAY_MIN_MS: u64 = 2300;
@@ -64,7 +64,7 @@
 
 impl HotSpot {
     /// Compares what is in progress here with what other routers have on average.
-    pub fn look(&mut self, here: usize, usual: usize) {
+    pub fn update(&mut self, here: usize, usual: usize) {
         let bound = HOT_MIN.max(usual * HOT_FACTOR);
         // Half, so that it does not change its mind with each request.
         let bound = if self.is_hot { bound / 2 } else { bound };
@@ -95,7 +95,7 @@
 
 impl Overload {
     /// Notes whether this router has far more to do than the others.
-    pub fn note_hot(&mut self, is_hot: bool) {
+    pub fn set_hot(&mut self, is_hot: bool) {
         self.is_hot = is_hot;
     }
 
@@ -109,14 +109,14 @@
         let mean_ms = self.mean_us / 1000;
         if self.is_away {
             self.consider_return(now, mean_ms);
-        } else if mean_ms >= LATE_MS || self.is_hot {
+        } else if mean_ms >= OVERLOAD_LATENESS_MS || self.is_hot {
             self.consider_leave(now);
         }
         self.is_away
     }
 
     /// Whether new connections are to go elsewhere.
-    pub fn is_away(&self) -> bool {
+    pub fn is_unready(&self) -> bool {
         self.is_away
     }
 
@@ -126,7 +126,7 @@
             return;
         }
         let since = now.since(self.changed);
-        let is_calm = mean_ms < CALM_MS;
+        let is_calm = mean_ms < CALM_LATENESS_MS;
         let until = if is_calm {
             self.hold_ms
         } else {
@@ -166,7 +166,7 @@
     /// Callers keep their connections: those of one large customer went on coming to the
     /// router that it had overloaded, while all others had room. Closed with an answer
     /// sooner, they would come back to the same one.
-    pub fn is_passed_over(&self, now: Millis) -> bool {
+    pub fn is_bypassed(&self, now: Millis) -> bool {
         self.is_away && now.since(self.changed) >= NOTICED_MS
     }
 }
--- a/components/coordination/src/platform.rs
+++ b/components/coordination/src/platform.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 /// Lists in a row that an endpoint must be missing from.
-pub const MISSING: u32 = 2;
+pub const MISSING_LISTS: u32 = 2;
 
 /// What the platform says of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -32,9 +32,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     /// The endpoint gets no new work.
-    Leaves(EndpointId),
+    Leaving(EndpointId),
     /// The endpoint is back.
-    Back(EndpointId),
+    Returned(EndpointId),
 }
 
 /// What was learned from earlier lists.
@@ -72,7 +72,7 @@
                 Some(State::Live) => {
                     self.seen.insert(*id, 0);
                     if leaving && self.announced.remove(id) {
-                        words.push(Change::Back(*id));
+                        words.push(Change::Returned(*id));
                     }
                 }
                 None if self.seen.contains_key(id) => {
@@ -87,7 +87,7 @@
         for id in missing {
             let times = self.seen.entry(id).or_default();
             *times += 1;
-            if *times >= MISSING && !view.leaving.contains(&id) {
+            if *times >= MISSING_LISTS && !view.leaving.contains(&id) {
                 words.push(self.leaves(id));
             }
         }
@@ -96,6 +96,6 @@
 
     fn leaves(&mut self, id: EndpointId) -> Change {
         self.announced.insert(id);
-        Change::Leaves(id)
+        Change::Leaving(id)
     }
 }
--- a/components/coordination/src/prelude.rs
+++ b/components/coordination/src/prelude.rs
@@ -1,6 +1,6 @@
 //! The common types, for `use coordination::prelude::*`.
 
-pub use crate::ask::{Ask, Class, Grant, Held, Known, Refusal, Report, Verdict};
+pub use crate::messages::{Ask, Class, Grant, Held, Refusal, Report, Usage, Verdict};
 pub use crate::prompt::Prompt;
 pub use smallvec::SmallVec;
 pub use state::prelude::*;
--- a/components/coordination/src/recent.rs
+++ b/components/coordination/src/recent.rs
@@ -27,7 +27,7 @@
 
 impl Recent {
     /// Takes an endpoint that a scheduler has introduced.
-    pub fn note(&mut self, now: Millis, id: EndpointId, endpoint: Endpoint) {
+    pub fn insert(&mut self, now: Millis, id: EndpointId, endpoint: Endpoint) {
         self.all.insert(
             id,
             Entry {
--- a/components/coordination/src/homes.rs
+++ b/components/coordination/src/regions.rs
@@ -8,7 +8,7 @@
 
 /// The regions in which a request may be served: all of them, or some.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Homes {
+pub struct Regions {
     /// Marks of the regions; `None` for all regions.
     some: Option<Marks>,
 }
@@ -16,23 +16,23 @@
 /// Marks of regions, 0 for none.
 type Marks = [u64; REGIONS];
 
-impl Homes {
+impl Regions {
     /// All regions if `names` is empty, else those that it names.
-    pub fn of(names: &[Name]) -> Self {
+    pub fn named(names: &[Name]) -> Self {
         if names.is_empty() {
-            return Homes::default();
+            return Regions::default();
         }
         let mut marks = Marks::default();
         for (mark, name) in marks.iter_mut().zip(names) {
             *mark = mark_of(name);
         }
-        Homes { some: Some(marks) }
+        Regions { some: Some(marks) }
     }
 
     /// The regions that are in both sets.
-    pub fn and(self, other: Homes) -> Self {
+    pub fn intersection(self, other: Regions) -> Self {
         let (Some(mut marks), Some(others)) = (self.some, other.some) else {
-            return Homes {
+            return Regions {
                 some: self.some.or(other.some),
             };
         };
@@ -41,11 +41,11 @@
                 *mark = 0;
             }
         }
-        Homes { some: Some(marks) }
+        Regions { some: Some(marks) }
     }
 
     /// Whether a region is in the set.
-    pub fn allow(&self, region: &Name) -> bool {
+    pub fn contains(&self, region: &Name) -> bool {
         let mark = mark_of(region);
         self.some.is_none_or(|marks| marks.contains(&mark))
     }
--- a/components/coordination/src/retry.rs
+++ b/components/coordination/src/retry.rs
@@ -95,7 +95,7 @@
 
 /// A failed try.
 #[derive(Clone, Copy, Debug)]
-pub struct Try {
+pub struct Failure {
     /// How far it got.
     pub reach: Reach,
     /// Whether the request may safely run twice.
@@ -110,28 +110,28 @@
 
 /// What to do after a failed try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum Action {
     /// Queue it again, for another endpoint.
-    Again,
+    Retry,
     /// Give up; it was not run.
     NotRun,
     /// Give up; it may have run.
     Unknown,
 }
 
-impl Next {
+impl Action {
     /// Its name in logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Next::Again => "again",
-            Next::NotRun => "not-run",
-            Next::Unknown => "unknown",
+            Action::Retry => "again",
+            Action::NotRun => "not-run",
+            Action::Unknown => "unknown",
         }
     }
 }
 
 /// Decides what follows a failed try.
-pub fn after(attempt: Try, now: Millis, budget: &mut Budget) -> Next {
+pub fn decide(attempt: Failure, now: Millis, budget: &mut Budget) -> Action {
     let safe = match attempt.reach {
         Reach::Nothing => true,
         Reach::Sent => attempt.idempotent,
@@ -139,11 +139,11 @@
     };
     let time = now < attempt.deadline;
     if safe && time && attempt.retries < attempt.retries_max && budget.take() {
-        return Next::Again;
+        return Action::Retry;
     }
     // An earlier try of an idempotent request may have been sent.
     if attempt.reach == Reach::Nothing && (attempt.retries == 0 || !attempt.idempotent) {
-        return Next::NotRun;
+        return Action::NotRun;
     }
-    Next::Unknown
+    Action::Unknown
 }
--- a/components/coordination/src/rule.rs
+++ b/components/coordination/src/rule.rs
@@ -29,7 +29,7 @@
 ///
 /// `routes` must have been made from the same rules. A rule whose services can
 /// be reached without a customer's key matches without one, too.
-pub fn decide<'a>(
+pub fn first_match<'a>(
     rules: &'a [Rule],
     routes: &Routes,
     request: &Request<'_>,
@@ -116,7 +116,7 @@
 /// Whether a request that a rule sends may safely run twice.
 ///
 /// The rule goes first, then the service, then what HTTP says of the method.
-pub fn idempotent(rule: Option<bool>, service: &Service, method: &str) -> bool {
+pub fn is_idempotent(rule: Option<bool>, service: &Service, method: &str) -> bool {
     const METHODS: [&str; 6] = ["GET", "HEAD", "OPTIONS", "PUT", "DELETE", "TRACE"];
     rule.unwrap_or(service.idempotent || METHODS.contains(&method))
 }
--- a/components/coordination/src/scheduler/kept.rs
+++ b/components/coordination/src/scheduler/kept.rs
@@ -5,7 +5,7 @@
 //! the time that it takes to read it, but its scheduler knows its own engines alone.
 
 use super::{Scheduler, Session};
-use crate::ask::{Kept, Seq};
+use crate::messages::{Cached, Seq};
 use std::collections::HashMap;
 
 /// Parts that one telling has at most.
@@ -17,8 +17,8 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Telling {
     /// An engine that has read each part.
-    known: HashMap<u32, Kept>,
-    fresh: Vec<Kept>,
+    known: HashMap<u32, Cached>,
+    fresh: Vec<Cached>,
 }
 
 impl Scheduler {
@@ -36,7 +36,7 @@
             if known.is_some_and(|k| self.slots.has_read(k.endpoint, part.key)) {
                 continue;
             }
-            let kept = Kept { endpoint, part };
+            let kept = Cached { endpoint, part };
             if self.telling.known.len() >= KNOWN {
                 self.telling.known.clear();
             }
@@ -46,18 +46,18 @@
     }
 
     /// Parts that engines here have come to keep since the last telling.
-    pub fn tell_kept(&mut self) -> Vec<Kept> {
+    pub fn tell_kept(&mut self) -> Vec<Cached> {
         let rest = self.telling.fresh.len().min(TOLD);
         self.telling.fresh.drain(..rest).collect()
     }
 
     /// All parts that were told, for a scheduler that has just begun.
-    pub fn all_kept(&self) -> Vec<Kept> {
+    pub fn all_kept(&self) -> Vec<Cached> {
         self.telling.known.values().copied().collect()
     }
 
     /// Takes what engines of another scheduler keep.
-    pub fn hear_kept(&mut self, kept: &[Kept]) {
+    pub fn hear_kept(&mut self, kept: &[Cached]) {
         for kept in kept {
             self.slots.learn_foreign(kept.part.key, kept.endpoint);
         }
--- a/components/coordination/src/scheduler/mod.rs
+++ b/components/coordination/src/scheduler/mod.rs
@@ -19,11 +19,11 @@
 use self::queue::{Key, Queue};
 use self::settled::Settled;
 use self::share::Shares;
-use crate::ask::{Basis, Hello, Seq, Served};
 use crate::engine::Reading;
 use crate::health;
 use crate::ledger::{virtual_cost, Ledger};
 use crate::limit::Bucket;
+use crate::messages::{Forecast, Hello, Seq, Served};
 use crate::prelude::*;
 use crate::prompt::Part;
 use crate::slot::{Choice, Slots};
@@ -277,13 +277,13 @@
         let session = Session(self.next);
         self.next += 1;
         self.sessions.insert(session);
-        for kept in &hello.kept {
+        for kept in &hello.cached {
             self.slots.learn(now, kept.endpoint, kept.part);
         }
         for backoff in &hello.backoff {
             self.slots.close(now, session.0, backoff);
         }
-        for known in &hello.known {
+        for known in &hello.usage {
             self.ledger.remember(known.customer, known.level);
         }
         let spent = self.settled.open(older, session, hello);
@@ -473,7 +473,7 @@
             return effects;
         };
         // Callers leave an endpoint that swallows requests, and say nothing of it.
-        if verdict == Verdict::Gone && running.silent_at.is_some_and(|at| at <= now) {
+        if verdict == Verdict::Cancelled && running.silent_at.is_some_and(|at| at <= now) {
             self.slots.note_silence(now, running.endpoint);
         }
         match change {
@@ -633,7 +633,7 @@
             seq: key.1,
             endpoint,
             copy_from: reading.and_then(|r| r.source()),
-            basis: reading.map_or(Basis::default(), |r| r.basis()),
+            forecast: reading.map_or(Forecast::default(), |r| r.basis()),
             level: self.ledger.settled(customer),
             floor: self.ledger.floor(),
             // CAST: sessions are numbered by `u32`.
--- a/components/coordination/src/scheduler/queue.rs
+++ b/components/coordination/src/scheduler/queue.rs
@@ -1,7 +1,7 @@
 //! Asks that wait at a scheduler, by customer.
 
 use super::Session;
-use crate::ask::Seq;
+use crate::messages::Seq;
 use crate::prelude::*;
 use crate::slot::Wish;
 use std::collections::btree_map::{BTreeMap, Entry};
--- a/components/coordination/src/scheduler/settled.rs
+++ b/components/coordination/src/scheduler/settled.rs
@@ -4,7 +4,7 @@
 //! before that, and it would be counted twice.
 
 use super::Session;
-use crate::ask::Hello;
+use crate::messages::Hello;
 use crate::prelude::*;
 use std::collections::BTreeMap;
 
@@ -33,12 +33,12 @@
         hello: &Hello,
     ) -> Vec<(CustomerId, u64)> {
         let known = older.and_then(|older| self.all.remove(&older));
-        let same = known.filter(|entry| entry.telling == hello.telling);
+        let same = known.filter(|entry| entry.telling == hello.usage_id);
         let entry = same.unwrap_or_else(|| Entry {
-            telling: hello.telling,
+            telling: hello.usage_id,
             ..Entry::default()
         });
-        let left = hello.known.iter().map(|k| {
+        let left = hello.usage.iter().map(|k| {
             let counted = entry.spent.get(&k.customer).copied().unwrap_or(0);
             (k.customer, k.spent.saturating_sub(counted))
         });
--- a/components/coordination/src/slot/mod.rs
+++ b/components/coordination/src/slot/mod.rs
@@ -399,13 +399,13 @@
         match verdict {
             Some(Verdict::Fine) => slot.reliability.note(now, false),
             Some(Verdict::Failed | Verdict::Error) => slot.reliability.note(now, true),
-            Some(Verdict::Gone) | None => {}
+            Some(Verdict::Cancelled) | None => {}
         }
         match verdict {
             // It lives: whether others would do better, its reliability tells.
             Some(Verdict::Fine | Verdict::Error) => slot.health.fine(),
             Some(Verdict::Failed) => slot.health.failed(now),
-            Some(Verdict::Gone) | None => Change::None,
+            Some(Verdict::Cancelled) | None => Change::None,
         }
     }
 
--- a/components/coordination/tests/arrivals/mod.rs
+++ b/components/coordination/tests/arrivals/mod.rs
@@ -1,10 +1,10 @@
 //! Requests at a router, and grants for them, as tests build them.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-use coordination::ask::{Basis, Class, Grant, Seq};
-use coordination::dispatcher::{Arrival, Bounds, Dispatcher, Home};
-use coordination::homes::Homes;
+use coordination::dispatcher::{Arrival, Bounds, Dispatcher, Location};
+use coordination::messages::{Class, Forecast, Grant, Seq};
 use coordination::prompt::Prompt;
+use coordination::regions::Regions;
 use state::clock::Millis;
 use state::id::{CustomerId, EndpointId, Epoch, Name, ServiceId};
 
@@ -24,7 +24,7 @@
         hint: 10,
         prompt: Prompt::default(),
         bytes: 10,
-        homes: Homes::default(),
+        regions: Regions::default(),
         aim: Millis(60_000),
         deadline: Millis(60_000),
     }
@@ -37,7 +37,7 @@
         seq,
         endpoint,
         copy_from: None,
-        basis: Basis::default(),
+        forecast: Forecast::default(),
         level: 0,
         floor: 0,
         routers: 1,
@@ -48,7 +48,7 @@
 
 /// A dispatcher with room for all that a test sends.
 pub(crate) fn dispatcher(region: Name, data_centre: Name, incarnation: u64) -> Dispatcher {
-    let home = Home {
+    let home = Location {
         region,
         data_centre,
         incarnation,
--- a/components/coordination/tests/asks/mod.rs
+++ b/components/coordination/tests/asks/mod.rs
@@ -1,6 +1,6 @@
 //! An ask as tests of placement and turning away build it.
 
-use coordination::ask::{Ask, Class, Seq};
+use coordination::messages::{Ask, Class, Seq};
 use coordination::prompt::Prompt;
 use state::id::CustomerId;
 
--- a/components/coordination/tests/backoff.rs
+++ b/components/coordination/tests/backoff.rs
@@ -3,11 +3,11 @@
 
 mod views;
 
-use coordination::ask::{Ask, Basis, Class, Grant, Hello, Report, Seq, Verdict};
 use coordination::backoff::{Backoff, Backoffs, BACKOFF_MAX_MS, LEAVING_MS};
-use coordination::dispatcher::{Arrival, Bounds, Dispatcher, Effect, Full, Handle, Home};
-use coordination::homes::Homes;
+use coordination::dispatcher::{Arrival, Bounds, Dispatcher, Effect, Handle, Location, Rejection};
+use coordination::messages::{Ask, Class, Forecast, Grant, Hello, Report, Seq, Verdict};
 use coordination::prompt::Prompt;
+use coordination::regions::Regions;
 use coordination::scheduler::{self, Scheduler, Session, GATHER_MS};
 use rstest::rstest;
 use state::clock::Millis;
@@ -26,7 +26,7 @@
 };
 
 fn rest(endpoint: EndpointId, ms: u64) -> Backoff {
-    Backoff::resting(endpoint, Duration::from_millis(ms))
+    Backoff::pausing(endpoint, Duration::from_millis(ms))
 }
 
 fn engine() -> Engine {
@@ -64,14 +64,14 @@
         hint: 10,
         prompt: Prompt::default(),
         bytes: 10,
-        homes: Homes::default(),
+        regions: Regions::default(),
         aim: Millis(aim_ms),
         deadline: Millis(20_000),
     }
 }
 
 fn dispatcher(view: &View) -> Dispatcher {
-    let home = Home {
+    let home = Location {
         region: name("main"),
         data_centre: name("dc"),
         incarnation: 7,
@@ -119,7 +119,7 @@
         seq,
         endpoint,
         copy_from: None,
-        basis: Basis::default(),
+        forecast: Forecast::default(),
         level: 0,
         floor: 0,
         routers: 1,
@@ -135,8 +135,8 @@
 #[case::without_end(u64::MAX, 1, u64::from(BACKOFF_MAX_MS))]
 fn can_keep_the_longer_of_two_words(#[case] first: u64, #[case] second: u64, #[case] ends: u64) {
     let mut backoffs = Backoffs::default();
-    backoffs.note(Millis(0), &rest(E1, first));
-    backoffs.note(Millis(0), &rest(E1, second));
+    backoffs.record(Millis(0), &rest(E1, first));
+    backoffs.record(Millis(0), &rest(E1, second));
     let until = backoffs.until(Millis(0), E1);
     assert_eq!(until, (ends > 0).then_some(Millis(ends)));
     assert_eq!(backoffs.until(Millis(ends), E1), None);
@@ -210,7 +210,7 @@
     dispatcher.backoff(Millis(20), first, rest(E2, 2990));
     assert_eq!(refused(&dispatcher.tick(Millis(20), &view)), [waiting]);
     let full = dispatcher.arrive(Millis(30), &view, arrival(1000));
-    assert_eq!(full.unwrap_err(), Full::Late { after_ms: 2980 });
+    assert_eq!(full.unwrap_err(), Rejection::Late { after_ms: 2980 });
     assert!(dispatcher.arrive(Millis(30), &view, arrival(5000)).is_ok());
     assert!(dispatcher.placement(patient) == Default::default());
     let ended = Millis(3010);
@@ -255,7 +255,7 @@
             scheduler::Effect::Grant(_, grant) => Some(grant.endpoint),
             _ => None,
         }));
-        scheduler.done(at, of, Seq(n), 10, Verdict::Gone);
+        scheduler.done(at, of, Seq(n), 10, Verdict::Cancelled);
     }
     all
 }
--- a/components/coordination/tests/candidacy.rs
+++ b/components/coordination/tests/candidacy.rs
@@ -3,7 +3,7 @@
 mod views;
 
 use coordination::assignment::{shards, Assigner, Site};
-use coordination::candidacy::{Candidacy, Known};
+use coordination::candidacy::{Candidacy, Status};
 use state::clock::Millis;
 use std::collections::BTreeSet;
 
@@ -13,13 +13,13 @@
 }
 
 /// How many of all stand.
-fn standing(all: &mut [Candidacy], now: u64, known: Known) -> usize {
-    let stand = all.iter_mut().map(|c| c.stands(Millis(now), known));
+fn standing(all: &mut [Candidacy], now: u64, known: Status) -> usize {
+    let stand = all.iter_mut().map(|c| c.is_candidate(Millis(now), known));
     stand.filter(|stands| *stands).count()
 }
 
-fn known(routers: Option<u32>, is_unscheduled: bool) -> Known {
-    Known {
+fn known(routers: Option<u32>, is_unscheduled: bool) -> Status {
+    Status {
         is_assigned: false,
         is_unscheduled,
         routers,
@@ -71,7 +71,7 @@
         for (n, candidate) in all.iter_mut().enumerate() {
             // The leader has settled long before the list of endpoints is read.
             let is_listed = tick >= 100;
-            if candidate.stands(now, known(None, is_listed)) {
+            if candidate.is_candidate(now, known(None, is_listed)) {
                 let site = Site {
                     place: views::place(&format!("r-{n}")),
                     region: views::name("main"),
@@ -97,12 +97,12 @@
 #[test]
 fn one_that_schedules_stands_and_goes_on_for_a_while() {
     let mut one = all(3000).remove(7);
-    let assigned = Known {
+    let assigned = Status {
         is_assigned: true,
         ..known(Some(3000), false)
     };
-    assert!(!one.stands(Millis(0), known(Some(3000), false)));
-    assert!(one.stands(Millis(10), assigned));
-    assert!(one.stands(Millis(5000), known(Some(3000), false)));
-    assert!(!one.stands(Millis(20_000), known(Some(3000), false)));
+    assert!(!one.is_candidate(Millis(0), known(Some(3000), false)));
+    assert!(one.is_candidate(Millis(10), assigned));
+    assert!(one.is_candidate(Millis(5000), known(Some(3000), false)));
+    assert!(!one.is_candidate(Millis(20_000), known(Some(3000), false)));
 }
--- a/components/coordination/tests/cells.rs
+++ b/components/coordination/tests/cells.rs
@@ -4,14 +4,14 @@
 mod endpoints;
 mod views;
 
-use coordination::ask::Class;
 use coordination::assignment::{shards, CELL_MAX};
 use coordination::cell::{Answer, Catalogue, Cells};
-use coordination::dispatcher::{Arrival, Bounds, Dispatcher, Home};
-use coordination::homes::Homes;
+use coordination::dispatcher::{Arrival, Bounds, Dispatcher, Location};
 use coordination::listing::{Reader, Roster, WHOLE_MAX};
+use coordination::messages::Class;
 use coordination::prompt::Prompt;
 use coordination::recent::{Recent, RECENT_MAX, RECENT_MS};
+use coordination::regions::Regions;
 use rstest::rstest;
 use state::clock::Millis;
 use state::id::{CustomerId, EndpointId};
@@ -99,7 +99,7 @@
 /// Shards that a router comes to have sessions with, by many prompts and a pressed own data
 /// centre.
 fn sessions(view: &View, incarnation: u64) -> usize {
-    let home = Home {
+    let home = Location {
         region: name("main"),
         data_centre: name("dc-0"),
         incarnation,
@@ -126,7 +126,7 @@
             hint: 100,
             prompt,
             bytes: 0,
-            homes: Homes::default(),
+            regions: Regions::default(),
             aim: Millis(u64::from(n) + 800),
             deadline: Millis(u64::from(n) + 8000),
         };
@@ -303,7 +303,7 @@
 fn a_router_remembers_a_bounded_number_of_endpoints_for_a_while() {
     let mut recent = Recent::default();
     for (n, listed) in (0..).zip(list(400)) {
-        recent.note(Millis(n), listed.id(), listed.endpoint);
+        recent.insert(Millis(n), listed.id(), listed.endpoint);
     }
     assert_eq!(recent.usable(Millis(2000)).count(), RECENT_MAX);
     assert_eq!(recent.usable(Millis(2000 + RECENT_MS)).count(), 0);
--- a/components/coordination/tests/cold.rs
+++ b/components/coordination/tests/cold.rs
@@ -8,13 +8,13 @@
 
 use arrivals::{arrival, grant};
 use asks::ask;
-use coordination::ask::{Grant, Hello, Seq, Verdict};
 use coordination::assignment::shards;
-use coordination::dispatcher::{Dispatcher, Effect, LOCAL_MS};
+use coordination::dispatcher::{Dispatcher, Effect, LOCAL_AFTER_MS};
+use coordination::failback::Failbacks;
 use coordination::listing::Roster;
+use coordination::messages::{Grant, Hello, Seq, Verdict};
 use coordination::prompt::Prompt;
 use coordination::ramp::Ramp;
-use coordination::returns::Returns;
 use coordination::scheduler::{self, Scheduler};
 use state::clock::Millis;
 use state::config::{Cold, Engine};
@@ -232,7 +232,7 @@
 /// request in 50 ms each.
 fn shared_out(routers: &mut [Dispatcher], view: &View, to: u64) -> Vec<u64> {
     let mut moments = Vec::new();
-    for at in (LOCAL_MS..to).step_by(10) {
+    for at in (LOCAL_AFTER_MS..to).step_by(10) {
         let now = Millis(at);
         for router in routers.iter_mut() {
             let mut effects = Vec::new();
@@ -283,23 +283,23 @@
         version: Version(5),
         at: 1_000_000,
     };
-    let mut returns = Returns::default();
+    let mut returns = Failbacks::default();
     view.evacuations.insert(name("dc-2"), evacuation);
-    returns.follow(Millis(100), 1_000_000, &mut view);
+    returns.mark_cold(Millis(100), 1_000_000, &mut view);
     assert!(view.warm_at.is_empty());
     evacuation.is_in_force = false;
     evacuation.version = Version(6);
     view.evacuations.insert(name("dc-2"), evacuation);
-    returns.follow(Millis(200), 2_000_000, &mut view);
+    returns.mark_cold(Millis(200), 2_000_000, &mut view);
     assert_eq!(view.warm_at.get(&EndpointId(2)), Some(&Millis(3200)));
     assert_eq!(view.warm_at.get(&COLD), None);
     // One that has just started counts from its start; long after it, nothing does.
     let mut late = view.clone();
     late.warm_at.clear();
-    Returns::default().follow(Millis(50), 3_000_000, &mut late);
+    Failbacks::default().mark_cold(Millis(50), 3_000_000, &mut late);
     assert_eq!(late.warm_at.get(&EndpointId(2)), Some(&Millis(3050)));
     late.warm_at.clear();
-    Returns::default().follow(Millis(50), 60_000_000, &mut late);
+    Failbacks::default().mark_cold(Millis(50), 60_000_000, &mut late);
     assert!(late.warm_at.is_empty());
 }
 
--- a/components/coordination/tests/copies.rs
+++ b/components/coordination/tests/copies.rs
@@ -4,7 +4,7 @@
 mod asks;
 
 use asks::ask;
-use coordination::ask::{Grant, Hello, Kept, Verdict};
+use coordination::messages::{Cached, Grant, Hello, Verdict};
 use coordination::prompt::Prompt;
 use coordination::scheduler::{Effect, Scheduler, Session};
 use state::clock::Millis;
@@ -38,7 +38,7 @@
 }
 
 /// Lets the engine of a scheduler read the part; gives what that is told to others.
-fn read(scheduler: &mut Scheduler, session: Session) -> Vec<Kept> {
+fn read(scheduler: &mut Scheduler, session: Session) -> Vec<Cached> {
     let grant = send(scheduler, session, 1000, 1);
     assert_eq!(grant.copy_from, None);
     assert!(scheduler.tell_kept().is_empty(), "it is not read yet");
@@ -63,7 +63,7 @@
     here.hear_kept(&told);
     let grant = send(&mut here, session, 2000, 1);
     assert_eq!((grant.endpoint, grant.copy_from), (HERE, Some(THERE)));
-    assert!(grant.basis.to_read < 2000, "{:?}", grant.basis);
+    assert!(grant.forecast.to_read < 2000, "{:?}", grant.forecast);
     // Once it has the part itself, nothing is copied.
     here.began(Millis(2300), session, grant.seq, Some(300));
     let grant = send(&mut here, session, 2400, 2);
--- a/components/coordination/tests/decisions.rs
+++ b/components/coordination/tests/decisions.rs
@@ -1,14 +1,14 @@
 //! The smaller decisions, one by one.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
-use coordination::ask::{Ask, Class, Held, Hello, Known, Seq, Served, Verdict};
 use coordination::health::{Change, Health, EJECT_MS, FAILURES};
 use coordination::ledger::{virtual_cost, Ledger};
 use coordination::limit::Bucket;
+use coordination::messages::{Ask, Class, Held, Hello, Seq, Served, Usage, Verdict};
 use coordination::platform::{Change as ListChange, Entry, State, Watch};
 use coordination::prompt::Prompt;
-use coordination::retry::{after, Bounds, Budget, Next, Reach, Try};
-use coordination::rule::{decide, idempotent, shadowed, Request};
+use coordination::retry::{decide, Action, Bounds, Budget, Failure, Reach};
+use coordination::rule::{first_match, is_idempotent, shadowed, Request};
 use coordination::scheduler::{Effect, Effects, Scheduler, Session, GATHER_MS, ORPHAN_MS};
 use coordination::slot::{Claims, Slots, Wish};
 use coordination::tree::{Confirm, Tree, Welcome};
@@ -152,39 +152,39 @@
 }
 
 #[rstest]
-#[case::nothing_sent(Reach::Nothing, false, 0, Next::Again)]
-#[case::nothing_sent_no_retries(Reach::Nothing, false, 2, Next::NotRun)]
-#[case::sent_once(Reach::Sent, false, 0, Next::Unknown)]
-#[case::sent_idempotent(Reach::Sent, true, 0, Next::Again)]
-#[case::sent_too_often(Reach::Sent, true, 2, Next::Unknown)]
-#[case::earlier_try_was_sent(Reach::Nothing, true, 2, Next::Unknown)]
-#[case::answer_has_begun(Reach::Answering, true, 0, Next::Unknown)]
+#[case::nothing_sent(Reach::Nothing, false, 0, Action::Retry)]
+#[case::nothing_sent_no_retries(Reach::Nothing, false, 2, Action::NotRun)]
+#[case::sent_once(Reach::Sent, false, 0, Action::Unknown)]
+#[case::sent_idempotent(Reach::Sent, true, 0, Action::Retry)]
+#[case::sent_too_often(Reach::Sent, true, 2, Action::Unknown)]
+#[case::earlier_try_was_sent(Reach::Nothing, true, 2, Action::Unknown)]
+#[case::answer_has_begun(Reach::Answering, true, 0, Action::Unknown)]
 fn can_decide_what_follows_a_failed_try(
     #[case] reach: Reach,
     #[case] idempotent: bool,
     #[case] retries: u32,
-    #[case] next: Next,
+    #[case] next: Action,
 ) {
-    let attempt = Try {
+    let attempt = Failure {
         reach,
         idempotent,
         retries,
         retries_max: 2,
         deadline: Millis(100),
     };
-    assert_eq!(after(attempt, Millis(0), &mut earned()), next);
+    assert_eq!(decide(attempt, Millis(0), &mut earned()), next);
 }
 
 #[test]
 fn can_give_up_at_once_past_the_deadline() {
-    let attempt = Try {
+    let attempt = Failure {
         reach: Reach::Nothing,
         idempotent: true,
         retries: 0,
         retries_max: 2,
         deadline: Millis(100),
     };
-    assert_eq!(after(attempt, Millis(100), &mut earned()), Next::NotRun);
+    assert_eq!(decide(attempt, Millis(100), &mut earned()), Action::NotRun);
 }
 
 #[test]
@@ -299,7 +299,7 @@
             data_centre: &data_centre,
             size,
         };
-        decide(&rules, &Routes::from(&rules[..]), &request).map(|(place, _)| place)
+        first_match(&rules, &Routes::from(&rules[..]), &request).map(|(place, _)| place)
     };
     assert_eq!(decided("/a/b/c", 0), Some(0));
     assert_eq!(decided("/a/c", 0), Some(1));
@@ -331,7 +331,7 @@
         engine: None,
         cold: None,
     };
-    assert_eq!(idempotent(rule, &service, method), twice);
+    assert_eq!(is_idempotent(rule, &service, method), twice);
 }
 
 fn ask(seq: u64, customer: CustomerId, concurrency: u32, rate: u32) -> Ask {
@@ -427,13 +427,13 @@
     // Symptom: a customer that is behind by right is set equal to the others.
     // Sequence: a new scheduler hears first of the customer that is ahead.
     // Cause: the one that comes later is lifted to whoever came first.
-    let known = |customer, level, spent| Known {
+    let known = |customer, level, spent| Usage {
         customer,
         level,
         spent,
     };
     let remembering = |known, floor| Hello {
-        known: vec![known],
+        usage: vec![known],
         floor,
         ..Hello::default()
     };
@@ -672,16 +672,19 @@
     let e1 = EndpointId(1);
     assert_eq!(
         watch.compare(&view, &leaving).to_vec(),
-        [ListChange::Leaves(e1)]
+        [ListChange::Leaving(e1)]
     );
     // It says so until it is in force, and once it is, no more.
     assert_eq!(
         watch.compare(&view, &leaving).to_vec(),
-        [ListChange::Leaves(e1)]
+        [ListChange::Leaving(e1)]
     );
     view.leaving.insert(e1);
     assert!(watch.compare(&view, &leaving).is_empty());
-    assert_eq!(watch.compare(&view, &list).to_vec(), [ListChange::Back(e1)]);
+    assert_eq!(
+        watch.compare(&view, &list).to_vec(),
+        [ListChange::Returned(e1)]
+    );
 }
 
 #[test]
@@ -707,7 +710,7 @@
     watch.compare(&view, &list);
     assert!(watch.compare(&view, &list[..3]).is_empty());
     let words = watch.compare(&view, &list[..3]);
-    assert_eq!(words.to_vec(), [ListChange::Leaves(EndpointId(4))]);
+    assert_eq!(words.to_vec(), [ListChange::Leaving(EndpointId(4))]);
 }
 
 #[test]
@@ -749,14 +752,14 @@
 /// has heard that the first one was taken.
 #[test]
 fn can_count_what_a_router_spent_once_through_two_hellos() {
-    let known = |spent| Known {
+    let known = |spent| Usage {
         customer: A,
         level: 0,
         spent,
     };
-    let hello = |telling, spent| Hello {
-        known: vec![known(spent)],
-        telling,
+    let hello = |usage_id, spent| Hello {
+        usage: vec![known(spent)],
+        usage_id,
         ..Hello::default()
     };
     let mut scheduler = Scheduler::new(Epoch(2), Millis(0));
--- a/components/coordination/tests/dispatcher.rs
+++ b/components/coordination/tests/dispatcher.rs
@@ -1,12 +1,13 @@
 //! The router's dispatcher.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
-use coordination::ask::{Basis, Class, Grant, Refusal, Report, Verdict};
 use coordination::dispatcher::{
-    Arrival, Bounds, Dispatcher, Effect, Full, Handle, Home, LOCAL_MS, REMOTE_MS, WINDOW,
+    Arrival, Bounds, Dispatcher, Effect, Handle, Location, Rejection, ASK_WINDOW, LOCAL_AFTER_MS,
+    REMOTE_AFTER_MS,
 };
-use coordination::homes::Homes;
+use coordination::messages::{Class, Forecast, Grant, Refusal, Report, Verdict};
 use coordination::prompt::Prompt;
+use coordination::regions::Regions;
 use state::clock::Millis;
 use state::config::{Cost, Endpoint, Service};
 use state::id::{CustomerId, EndpointId, Epoch, Name, ServiceId};
@@ -79,13 +80,13 @@
         aim: Millis(u64::MAX),
         prompt: Prompt::default(),
         bytes: 10,
-        homes: Homes::default(),
+        regions: Regions::default(),
         deadline: Millis(5000),
     }
 }
 
-fn home() -> Home {
-    Home {
+fn home() -> Location {
+    Location {
         region: name("main"),
         data_centre: name("dc"),
         incarnation: 7,
@@ -119,7 +120,7 @@
     each.collect()
 }
 
-fn asked(reports: &[Report]) -> coordination::ask::Seq {
+fn asked(reports: &[Report]) -> coordination::messages::Seq {
     let ask = reports.iter().find_map(|r| match r {
         Report::Ask(ask) => Some(ask.seq),
         _ => None,
@@ -127,13 +128,13 @@
     ask.unwrap()
 }
 
-fn grant(epoch: u64, seq: coordination::ask::Seq) -> Grant {
+fn grant(epoch: u64, seq: coordination::messages::Seq) -> Grant {
     Grant {
         epoch: Epoch(epoch),
         seq,
         endpoint: ENDPOINT,
         copy_from: None,
-        basis: Basis::default(),
+        forecast: Forecast::default(),
         level: 0,
         floor: 0,
         routers: 1,
@@ -154,8 +155,8 @@
     let seq = asked(&sent);
     let dispatched = dispatcher.grant(Millis(1), grant(1, seq));
     assert_eq!(dispatched, [Effect::Dispatch(handle, ENDPOINT)]);
-    let left = reports(&dispatcher.leave(Millis(2), handle));
-    assert_eq!(left, [Report::Done(seq, 0, Verdict::Gone)]);
+    let left = reports(&dispatcher.cancel(Millis(2), handle));
+    assert_eq!(left, [Report::Done(seq, 0, Verdict::Cancelled)]);
     assert_eq!((dispatcher.held(), dispatcher.waiting()), (0, 0));
 }
 
@@ -181,7 +182,7 @@
     let (handle, sent) = arrive(&mut dispatcher, &view, 1);
     let seq = asked(&sent);
     assert_eq!(
-        reports(&dispatcher.leave(Millis(1), handle)),
+        reports(&dispatcher.cancel(Millis(1), handle)),
         [Report::Withdraw(seq)]
     );
     let back = reports(&dispatcher.grant(Millis(2), grant(1, seq)));
@@ -197,9 +198,9 @@
         let (_, sent) = arrive(&mut dispatcher, &view, 1);
         asks += sent.iter().filter(|r| matches!(r, Report::Ask(_))).count();
     }
-    assert_eq!(asks, WINDOW as usize);
+    assert_eq!(asks, ASK_WINDOW as usize);
     let full = dispatcher.arrive(Millis(0), &view, arrival(1)).err();
-    assert_eq!(full, Some(Full::Customer));
+    assert_eq!(full, Some(Rejection::Customer));
     // Another customer still has room, until the router's own bound.
     let mut more = 0;
     while dispatcher.arrive(Millis(0), &view, arrival(2)).is_ok() {
@@ -207,7 +208,7 @@
     }
     assert_eq!(more, 50);
     let full = dispatcher.arrive(Millis(0), &view, arrival(3)).err();
-    assert_eq!(full, Some(Full::Router));
+    assert_eq!(full, Some(Rejection::Router));
 }
 
 #[test]
@@ -231,7 +232,7 @@
     let mut dispatcher = dispatcher();
     let (first, _) = arrive(&mut dispatcher, &view(1), 1);
     dispatcher.link_down(Millis(1), &name("s"));
-    let alone = dispatcher.tick(Millis(1 + LOCAL_MS), &view(1));
+    let alone = dispatcher.tick(Millis(1 + LOCAL_AFTER_MS), &view(1));
     assert_eq!(alone, [Effect::Dispatch(first, ENDPOINT)]);
     dispatcher.done(Millis(400), first, 25, Verdict::Fine);
     // Another one waits, so that the customer stays in the backlog.
@@ -239,7 +240,7 @@
     let spent = |reports: &[Report]| {
         reports.iter().find_map(|r| match r {
             Report::Hello(hello) => hello
-                .known
+                .usage
                 .iter()
                 .find(|k| k.customer == CustomerId(1))
                 .copied(),
@@ -277,12 +278,12 @@
     dispatcher.link_down(Millis(1), &name("s"));
     let (first, _) = arrive(&mut dispatcher, &view, 1);
     arrive(&mut dispatcher, &view, 2);
-    let mut effects = dispatcher.tick(Millis(1 + LOCAL_MS), &view);
-    effects.extend(dispatcher.tick(Millis(1 + 2 * LOCAL_MS), &view));
+    let mut effects = dispatcher.tick(Millis(1 + LOCAL_AFTER_MS), &view);
+    effects.extend(dispatcher.tick(Millis(1 + 2 * LOCAL_AFTER_MS), &view));
     let dispatched = |e: &Effect| matches!(e, Effect::Dispatch(..));
     assert!(!effects.iter().any(dispatched), "{effects:?}");
     assert_eq!(dispatcher.waiting(), 2);
-    assert_eq!(dispatcher.leave(Millis(900), first).len(), 0);
+    assert_eq!(dispatcher.cancel(Millis(900), first).len(), 0);
 }
 
 #[test]
@@ -291,7 +292,7 @@
     let mut dispatcher = dispatcher();
     let (handle, sent) = arrive(&mut dispatcher, &view, 1);
     dispatcher.grant(Millis(1), grant(1, asked(&sent)));
-    let again = reports(&dispatcher.again(Millis(2), handle, Verdict::Failed));
+    let again = reports(&dispatcher.requeue(Millis(2), handle, Verdict::Failed));
     let asks: Vec<_> = again
         .iter()
         .filter_map(|r| match r {
@@ -317,7 +318,7 @@
     view
 }
 
-fn asks(effects: &[Effect]) -> Vec<(String, coordination::ask::Ask)> {
+fn asks(effects: &[Effect]) -> Vec<(String, coordination::messages::Ask)> {
     let each = effects.iter().filter_map(|e| match e {
         Effect::Report(assignment, Report::Ask(ask)) => {
             Some((assignment.place.vm.to_string(), *ask))
@@ -338,9 +339,9 @@
     dispatcher.link_up(Millis(0), &name("t"));
     let (handle, sent) = arrive(&mut dispatcher, &view, 1);
     let home = asked(&sent);
-    assert!(asks(&dispatcher.tick(Millis(REMOTE_MS - 1), &view)).is_empty());
-    let mut remote = asks(&dispatcher.tick(Millis(REMOTE_MS), &view));
-    remote.extend(asks(&dispatcher.tick(Millis(REMOTE_MS + 20), &view)));
+    assert!(asks(&dispatcher.tick(Millis(REMOTE_AFTER_MS - 1), &view)).is_empty());
+    let mut remote = asks(&dispatcher.tick(Millis(REMOTE_AFTER_MS), &view));
+    remote.extend(asks(&dispatcher.tick(Millis(REMOTE_AFTER_MS + 20), &view)));
     assert_eq!(remote.len(), 1);
     let (vm, ask) = &remote[0];
     assert_eq!((vm.as_str(), ask.remote), ("t", true));
@@ -368,8 +369,8 @@
     let mut dispatcher = dispatcher();
     dispatcher.link_up(Millis(0), &name("t"));
     let (handle, sent) = arrive(&mut dispatcher, &view, 1);
-    let mut remote = asks(&dispatcher.tick(Millis(REMOTE_MS), &view));
-    remote.extend(asks(&dispatcher.tick(Millis(REMOTE_MS + 20), &view)));
+    let mut remote = asks(&dispatcher.tick(Millis(REMOTE_AFTER_MS), &view));
+    remote.extend(asks(&dispatcher.tick(Millis(REMOTE_AFTER_MS + 20), &view)));
     let effects = dispatcher.grant(Millis(300), grant(1, asked(&sent)));
     assert!(effects.contains(&Effect::Dispatch(handle, ENDPOINT)));
     assert_eq!(reports(&effects), [Report::Withdraw(remote[0].1.seq)]);
@@ -378,7 +379,7 @@
 
 /// Requests of one class with an aim of 400 ms, more than its scheduler is asked for.
 fn flood(dispatcher: &mut Dispatcher, view: &View, now: Millis) -> Vec<Handle> {
-    let each = (0..WINDOW + 8).map(|_| {
+    let each = (0..ASK_WINDOW + 8).map(|_| {
         let mut arrival = arrival(1);
         arrival.aim = now.after(400);
         dispatcher.arrive(now, view, arrival).unwrap().0
@@ -413,7 +414,7 @@
     let soon = dispatcher.arrive(Millis(90), &view, late(90));
     assert!(soon.is_ok(), "the queue may yet move on");
     let newcomer = dispatcher.arrive(Millis(100), &view, late(100));
-    assert_eq!(newcomer.err(), Some(Full::Customer));
+    assert_eq!(newcomer.err(), Some(Rejection::Customer));
     let mut other = late(100);
     other.class.customer = CustomerId(2);
     let other = dispatcher.arrive(Millis(100), &view, other);
@@ -427,12 +428,12 @@
     let handles = flood(&mut dispatcher, &view, Millis(0));
     assert!(refused(&dispatcher.tick(Millis(199), &view)).is_empty());
     let gone = refused(&dispatcher.tick(Millis(200), &view));
-    let unasked = &handles[WINDOW as usize..];
+    let unasked = &handles[ASK_WINDOW as usize..];
     assert_eq!(gone.len(), unasked.len());
     assert!(gone
         .iter()
         .all(|(h, wait)| unasked.contains(h) && *wait == 200));
-    assert_eq!(dispatcher.waiting(), WINDOW as usize);
+    assert_eq!(dispatcher.waiting(), ASK_WINDOW as usize);
 }
 
 #[test]
@@ -478,7 +479,7 @@
         arrival
     };
     let newcomer = dispatcher.arrive(Millis(20), &view, late(20, 1));
-    assert_eq!(newcomer.err(), Some(Full::Late { after_ms: 700 }));
+    assert_eq!(newcomer.err(), Some(Rejection::Late { after_ms: 700 }));
     assert!(dispatcher.arrive(Millis(20), &view, late(20, 2)).is_ok());
     dispatcher.tick(Millis(60), &view);
     assert!(dispatcher.arrive(Millis(109), &view, late(109, 1)).is_err());
--- a/components/coordination/tests/evacuation.rs
+++ b/components/coordination/tests/evacuation.rs
@@ -5,9 +5,9 @@
 mod views;
 
 use arrivals::{arrival, grant};
-use coordination::ask::{Report, Seq, Verdict};
 use coordination::assignment::shards;
-use coordination::dispatcher::{Dispatcher, Effect, Full, Handle, LOCAL_MS};
+use coordination::dispatcher::{Dispatcher, Effect, Handle, Rejection, LOCAL_AFTER_MS};
+use coordination::messages::{Report, Seq, Verdict};
 use state::clock::Millis;
 use state::evacuation::Evacuation;
 use state::id::{EndpointId, Epoch, Version};
@@ -99,7 +99,7 @@
     dispatcher.follow(Millis(0), &view);
     let mut to = Vec::new();
     for n in 0..6 {
-        let now = Millis(LOCAL_MS + n);
+        let now = Millis(LOCAL_AFTER_MS + n);
         let arrived = dispatcher.arrive(Millis(0), &view, arrival(SERVICE));
         let (_, effects) = arrived.unwrap();
         to.extend(sent(&effects));
@@ -119,7 +119,7 @@
     let effects = dispatcher.follow(Millis(2), &view);
     assert!(effects.contains(&Effect::Unserved(handle)), "{effects:?}");
     let newcomer = dispatcher.arrive(Millis(3), &view, arrival(SERVICE));
-    assert_eq!(newcomer.err(), Some(Full::NoEndpoint));
+    assert_eq!(newcomer.err(), Some(Rejection::NoEndpoint));
     order(&mut view, "dc-1", false);
     dispatcher.follow(Millis(4), &view);
     assert!(dispatcher
@@ -141,7 +141,7 @@
         !effects.contains(&Effect::Unserved(handle)),
         "it is in progress"
     );
-    dispatcher.again(Millis(4), handle, Verdict::Failed);
+    dispatcher.requeue(Millis(4), handle, Verdict::Failed);
     let effects = dispatcher.tick(Millis(5), &view);
     assert!(effects.contains(&Effect::Unserved(handle)), "{effects:?}");
 }
--- a/components/coordination/tests/fleet/mod.rs
+++ b/components/coordination/tests/fleet/mod.rs
@@ -6,10 +6,10 @@
 
 mod naive;
 
-use coordination::ask::{Class, Grant, Report, Verdict};
-use coordination::dispatcher::{Arrival, Bounds, Dispatcher, Effect, Handle, Home};
-use coordination::homes::Homes;
+use coordination::dispatcher::{Arrival, Bounds, Dispatcher, Effect, Handle, Location};
+use coordination::messages::{Class, Grant, Report, Verdict};
 use coordination::prompt::Prompt;
+use coordination::regions::Regions;
 use coordination::scheduler::{Effect as Given, Scheduler, Session};
 use coordination::slot::Choice;
 use naive::Naive;
@@ -330,7 +330,7 @@
             aim: Millis(u64::MAX),
             prompt: Prompt::default(),
             bytes: 0,
-            homes: Homes::default(),
+            regions: Regions::default(),
             deadline: Millis(u64::MAX),
         };
         let now = self.now();
@@ -636,7 +636,7 @@
 
 fn size(report: &Report) -> u64 {
     match report {
-        Report::Hello(hello) => 12 + 12 * hello.held.len() as u64 + 8 * hello.known.len() as u64,
+        Report::Hello(hello) => 12 + 12 * hello.held.len() as u64 + 8 * hello.usage.len() as u64,
         Report::Ask(_) => 14,
         Report::Withdraw(_) | Report::Return(_) => 3,
         Report::Progress(..) | Report::Began(..) => 5,
@@ -705,7 +705,7 @@
         requests: 100_000,
         bytes: u64::MAX,
     };
-    let home = Home {
+    let home = Location {
         region: Name::try_from("main").unwrap(),
         data_centre: Name::try_from("dc").unwrap(),
         incarnation: (n as u64) << 32 | incarnation,
--- a/components/coordination/tests/load.rs
+++ b/components/coordination/tests/load.rs
@@ -7,7 +7,7 @@
 mod asks;
 mod engines;
 
-use coordination::ask::{Ask, Class, Hello, Kept, Report, Seq, Verdict};
+use coordination::messages::{Ask, Cached, Class, Hello, Report, Seq, Verdict};
 use coordination::prompt::{Part, Prompt};
 use coordination::scheduler::{Effect, Scheduler, Session, GATHER_MS};
 use coordination::slot::{Claims, Slots, Wish};
@@ -339,7 +339,7 @@
     let now = Millis(1000);
     let part = Prompt::new([(7, 13_000)], 0).parts().next().unwrap();
     let hello = Hello {
-        kept: vec![Kept {
+        cached: vec![Cached {
             endpoint: EndpointId(3),
             part,
         }],
@@ -471,7 +471,7 @@
         world.arrive(1, 1);
         let effects = world.scheduler.tick(Millis(world.now + 100));
         assert!(effects.is_empty());
-        let gone = Report::Done(Seq(0), 0, Verdict::Gone);
+        let gone = Report::Done(Seq(0), 0, Verdict::Cancelled);
         let now = Millis(world.now + left_after);
         world.scheduler.take(now, world.session, gone);
         let ids = [EndpointId(1), EndpointId(2)];
@@ -564,7 +564,7 @@
     }
     // One of them a router remembers; a hello may still be on its way at first.
     let hello = Hello {
-        kept: vec![Kept {
+        cached: vec![Cached {
             endpoint: EndpointId(1),
             part: Part::new(7, 13_000),
         }],
@@ -592,7 +592,7 @@
         panic!("{granted:?}");
     };
     assert_eq!(grant.endpoint, EndpointId(3));
-    assert_eq!(grant.basis.to_read, 10);
+    assert_eq!(grant.forecast.to_read, 10);
 }
 
 #[test]
--- a/components/coordination/tests/overload.rs
+++ b/components/coordination/tests/overload.rs
@@ -1,8 +1,8 @@
 //! When a router turns new callers away, and what it may take on.
 
-use coordination::budget::{Budget, Vm};
-use coordination::intake::{Arrivals, Intake, Limit, Probes};
-use coordination::overload::{HotSpot, Overload, LATE_MS};
+use coordination::admission::{Admission, Arrivals, Limit, Probes};
+use coordination::budget::{Budget, Resources};
+use coordination::overload::{HotSpot, Overload, OVERLOAD_LATENESS_MS};
 use rstest::rstest;
 use state::clock::Millis;
 
@@ -79,7 +79,7 @@
     // With every router of a data centre unready none is helped by it, and callers go to a
     // data centre that is further off.
     let mut overload = Overload::default();
-    let changes = play(&mut overload, 60_000, |_| LATE_MS * 3);
+    let changes = play(&mut overload, 60_000, |_| OVERLOAD_LATENESS_MS * 3);
     let mut away = 0;
     for pair in changes.chunks_exact(2) {
         let [(left, true), (back, false)] = pair[..] else {
@@ -100,12 +100,12 @@
 fn can_take_on_no_more_than_the_vm_has(#[case] memory: u64, #[case] descriptors: u64) {
     // 4,096 connections were accepted on each of these, of 36 KB each: 147 MB on a VM of 160
     // MB, with 4,096 of its 4,100 descriptors.
-    let budget = Budget::from(Vm {
-        memory,
+    let budget = Budget::from(Resources {
+        memory_bytes: memory,
         descriptors,
     });
     let connections = u64::try_from(budget.connections).unwrap();
-    let kept = u64::try_from(budget.kept).unwrap();
+    let kept = u64::try_from(budget.idle_connections).unwrap();
     let rest = 24_000_000;
     let taken = rest + connections * (36_000 + 20_000) + kept * 20_000 + budget.body_bytes;
     assert!(taken < memory, "{budget:?}");
@@ -116,14 +116,14 @@
 
 #[test]
 fn can_keep_what_operators_allow_where_that_is_less() {
-    let budget = Budget::from(Vm {
-        memory: 260_000_000,
+    let budget = Budget::from(Resources {
+        memory_bytes: 260_000_000,
         descriptors: 4100,
     });
     let bounded = budget.within(100, 1 << 20);
     assert_eq!((bounded.connections, bounded.body_bytes), (100, 1 << 20));
     assert_eq!(budget.within(usize::MAX, u64::MAX), budget);
-    assert!(!bounded.is_scarce(74) && bounded.is_scarce(75));
+    assert!(!bounded.is_nearly_full(74) && bounded.is_nearly_full(75));
 }
 
 #[rstest]
@@ -148,15 +148,18 @@
     // though it had nothing to do: its one probe was seconds late.
     let probes = Probes {
         last_ms: last,
-        before_ms: before,
+        previous_ms: before,
         overdue_ms: overdue,
-        taken,
+        admitted: taken,
     };
     let late_ms = probes.lateness();
-    assert_eq!(late_ms >= LATE_MS, is_late);
-    let connection = Intake::of_connection(late_ms, Arrivals::default(), u64::MAX);
-    assert_eq!(connection == Intake::Close, is_late);
-    assert_eq!(Intake::of_request(late_ms) == Intake::Refuse, is_late);
+    assert_eq!(late_ms >= OVERLOAD_LATENESS_MS, is_late);
+    let connection = Admission::for_connection(late_ms, Arrivals::default(), u64::MAX);
+    assert_eq!(connection == Admission::Close, is_late);
+    assert_eq!(
+        Admission::for_request(late_ms) == Admission::Refuse,
+        is_late
+    );
 }
 
 #[test]
@@ -173,10 +176,10 @@
         let is_away = overload.probe(Millis(now), 60, false);
         if is_away {
             let since = *away.get_or_insert(now);
-            assert_eq!(overload.is_passed_over(Millis(now)), now - since >= 2000);
+            assert_eq!(overload.is_bypassed(Millis(now)), now - since >= 2000);
         } else {
             away = None;
-            assert!(!overload.is_passed_over(Millis(now)));
+            assert!(!overload.is_bypassed(Millis(now)));
         }
     }
 }
@@ -229,7 +232,7 @@
     #[case] is_hot: bool,
 ) {
     let mut spot = HotSpot::default();
-    spot.look(here, usual);
+    spot.update(here, usual);
     assert_eq!(spot.is_hot(), is_hot);
 }
 
@@ -250,8 +253,8 @@
         } else {
             10
         };
-        spot.look(here, 10);
-        overload.note_hot(spot.is_hot());
+        spot.update(here, 10);
+        overload.set_hot(spot.is_hot());
         // It is calm all along.
         if overload.probe(Millis(now), 5, false) {
             away.push(now);
@@ -271,9 +274,9 @@
     let mut let_in = Vec::new();
     for _ in 0..200 {
         // 40 connections come between two probes; with more than 10 of them tasks run late.
-        let taken = limit.takes().min(40);
+        let taken = limit.connections_max().min(40);
         let late_ms = if taken > 10 {
-            LATE_MS + 10 * (taken - 10)
+            OVERLOAD_LATENESS_MS + 10 * (taken - 10)
         } else {
             5
         };
@@ -288,15 +291,24 @@
     for _ in 0..100 {
         limit.probe(2, 3);
     }
-    assert!(limit.takes() > 1000, "{limit:?}");
+    assert!(limit.connections_max() > 1000, "{limit:?}");
 }
 
 #[test]
 fn what_is_beyond_a_bound_costs_a_flooded_router_nothing() {
-    let of = |taken, closed| Intake::of_connection(0, Arrivals { taken, closed }, 8);
-    assert_eq!(of(7, 0), Intake::Take);
-    assert_eq!(of(8, 0), Intake::Close);
-    assert_eq!(of(8, 1000), Intake::Wait);
+    let of = |taken, closed| {
+        Admission::for_connection(
+            0,
+            Arrivals {
+                admitted: taken,
+                closed,
+            },
+            8,
+        )
+    };
+    assert_eq!(of(7, 0), Admission::Admit);
+    assert_eq!(of(8, 0), Admission::Close);
+    assert_eq!(of(8, 1000), Admission::Wait);
 }
 
 #[rstest]
@@ -312,6 +324,6 @@
     // A VM that was suspended, or held up once, has done nothing to be late: it would close
     // the first connections that come after it.
     let mut limit = Limit::default();
-    limit.probe(Probes::lasting(last, before, taken), taken);
-    assert_eq!(limit.takes() < 100, is_lower);
+    limit.probe(Probes::sustained(last, before, taken), taken);
+    assert_eq!(limit.connections_max() < 100, is_lower);
 }
--- a/components/coordination/tests/placement.rs
+++ b/components/coordination/tests/placement.rs
@@ -3,8 +3,8 @@
 
 mod scan;
 
-use coordination::ask::Verdict;
 use coordination::engine::Reading;
+use coordination::messages::Verdict;
 use coordination::prompt::{Part, Prompt};
 use coordination::slot::{Claims, Slots, Wish};
 use rand::{Rng, SeedableRng};
@@ -167,7 +167,7 @@
         let verdict = match self.rng.random_range(0..20) {
             0 => Verdict::Failed,
             1 => Verdict::Error,
-            2 => Verdict::Gone,
+            2 => Verdict::Cancelled,
             _ => Verdict::Fine,
         };
         self.slots.free(self.now, id, Some(verdict));
--- a/components/coordination/tests/pressure.rs
+++ b/components/coordination/tests/pressure.rs
@@ -2,7 +2,7 @@
 
 mod asks;
 
-use coordination::ask::{Hello, Report, Seq, Verdict};
+use coordination::messages::{Hello, Report, Seq, Verdict};
 use coordination::prompt::Prompt;
 use coordination::scheduler::{Effect, Effects, Scheduler, Session, GATHER_MS};
 use coordination::slot::{Claims, Slots, Wish};
@@ -151,7 +151,7 @@
         let Effect::Grant(_, grant) = sent[0] else {
             unreachable!("an idle engine is sent a request");
         };
-        expected = u64::from(grant.basis.first_ms);
+        expected = u64::from(grant.forecast.first_ms);
         let took = 4 + 110 + u64::from(tokens) / 44;
         let first = Millis(now + took);
         scheduler.take(first, session, Report::Began(Seq(seq), PROMPTLY));
@@ -230,7 +230,7 @@
         let Effect::Grant(_, grant) = sent[0] else {
             unreachable!("an idle engine is sent a request");
         };
-        expected = u64::from(grant.basis.first_ms);
+        expected = u64::from(grant.forecast.first_ms);
         let heard = Millis(now + 260 + 500);
         scheduler.take(heard, session, Report::Began(Seq(seq), Some(260)));
         scheduler.take(heard, session, Report::Done(Seq(seq), 10, Verdict::Fine));
--- a/components/coordination/tests/region/world.rs
+++ b/components/coordination/tests/region/world.rs
@@ -12,12 +12,12 @@
 use crate::engines::{Engine, Progress};
 use crate::setup::{centre_name, Callers, Setup, Tasks, MEMORY};
 use crate::views::{name, SERVICE};
-use coordination::ask::{Class, Grant, Refusal, Report, Served, Verdict};
 use coordination::dispatcher::{
-    endpoints, Arrival, Bounds, Dispatcher, Effect, Full, Handle, Home,
+    endpoints, Arrival, Bounds, Dispatcher, Effect, Handle, Location, Rejection,
 };
-use coordination::homes::Homes;
+use coordination::messages::{Class, Grant, Refusal, Report, Served, Verdict};
 use coordination::prompt::Prompt;
+use coordination::regions::Regions;
 use coordination::scheduler::{Effect as Given, Scheduler, Session};
 use rand::distr::weighted::WeightedIndex;
 use rand::distr::Distribution;
@@ -140,7 +140,7 @@
             }
         });
         let router = |n: usize| {
-            let home = Home {
+            let home = Location {
                 region: name("main"),
                 data_centre: name(&centre_name(n % setup.centres)),
                 incarnation: n as u64,
@@ -300,7 +300,7 @@
             aim: Millis(job.arrived + job.aim_ms).max(Millis(self.now)),
             prompt,
             bytes: 0,
-            homes: Homes::default(),
+            regions: Regions::default(),
             deadline: Millis(job.arrived + 10_000),
         };
         let router = &mut self.routers[at];
@@ -310,7 +310,7 @@
                 router.jobs.insert(handle, job);
                 self.act(at, effects);
             }
-            Err(Full::Late { after_ms }) => self.refused(job, after_ms),
+            Err(Rejection::Late { after_ms }) => self.refused(job, after_ms),
             Err(_) => self.refused(job, 300),
         }
     }
--- a/components/coordination/tests/region/world/one_queue.rs
+++ b/components/coordination/tests/region/world/one_queue.rs
@@ -4,8 +4,8 @@
 use super::router::{Work, BUSY_RETURN_MS, CLOSE_US, OPEN_US, PROBE_MS, READ_US, REFUSE_US};
 use super::router::{SERVE_US, UNREAD_MS};
 use super::{Job, World};
-use coordination::intake::{Arrivals, Intake, Probes};
-use coordination::overload::LATE_MS;
+use coordination::admission::{Admission, Arrivals, Probes};
+use coordination::overload::OVERLOAD_LATENESS_MS;
 use state::clock::Millis;
 
 /// Tries that wait to be taken in at most; others find no connection.
@@ -57,7 +57,7 @@
             self.refused(job, BUSY_RETURN_MS as u32);
             return OPEN_US;
         }
-        if self.late_in_order(at) >= LATE_MS {
+        if self.late_in_order(at) >= OVERLOAD_LATENESS_MS {
             self.refused(job, BUSY_RETURN_MS as u32);
             return OPEN_US + READ_US + REFUSE_US;
         }
@@ -70,18 +70,18 @@
         let late_ms = self.late_in_order(at);
         let processor = &mut self.routers[at].processor;
         let is_gone = self.now - job.came >= UNREAD_MS;
-        let takes = processor.limit.takes();
-        let intake = Intake::of_connection(late_ms, processor.arrivals, takes);
-        if intake == Intake::Wait {
+        let takes = processor.limit.connections_max();
+        let intake = Admission::for_connection(late_ms, processor.arrivals, takes);
+        if intake == Admission::Wait {
             self.routers[at].backlog.push_back(job);
             return 0;
         }
-        if is_gone || intake == Intake::Close {
+        if is_gone || intake == Admission::Close {
             processor.arrivals.closed += 1;
             self.refused(job, BUSY_RETURN_MS as u32);
             return CLOSE_US;
         }
-        processor.arrivals.taken += 1;
+        processor.arrivals.admitted += 1;
         processor.taken += 1;
         self.take(at, job);
         OPEN_US + READ_US
@@ -91,9 +91,9 @@
         let processor = &self.routers[at].processor;
         let probes = Probes {
             last_ms: processor.last_ms,
-            before_ms: processor.before_ms,
+            previous_ms: processor.before_ms,
             overdue_ms: self.now.saturating_sub(processor.due),
-            taken: processor.taken,
+            admitted: processor.taken,
         };
         probes.lateness()
     }
@@ -110,14 +110,16 @@
         let late_ms = now - processor.due;
         processor.before_ms = std::mem::replace(&mut processor.last_ms, late_ms);
         processor.due = now + PROBE_MS;
-        let lasting_ms = Probes::lasting(late_ms, processor.before_ms, processor.taken);
-        processor.limit.probe(lasting_ms, processor.arrivals.taken);
+        let lasting_ms = Probes::sustained(late_ms, processor.before_ms, processor.taken);
+        processor
+            .limit
+            .probe(lasting_ms, processor.arrivals.admitted);
         (processor.taken, processor.arrivals) = (0, Arrivals::default());
         // What was left with the system is looked at again, before what came later.
         while let Some(job) = router.backlog.pop_back() {
             router.in_order.push_front((now, Work::Try(job)));
         }
-        processor.overload.note_hot(router.dispatcher.is_hot());
+        processor.overload.set_hot(router.dispatcher.is_hot());
         (processor.overload).probe(Millis(now), late_ms, false);
     }
 }
--- a/components/coordination/tests/region/world/router.rs
+++ b/components/coordination/tests/region/world/router.rs
@@ -2,9 +2,9 @@
 
 use super::{Job, World};
 use crate::setup::Tasks;
-use coordination::ask::{Grant, Refusal};
+use coordination::admission::{Admission, Arrivals, Limit, Probes};
 use coordination::dispatcher::{Dispatcher, Handle};
-use coordination::intake::{Arrivals, Intake, Limit, Probes};
+use coordination::messages::{Grant, Refusal};
 use coordination::overload::Overload;
 use state::clock::Millis;
 use std::collections::{BTreeMap, VecDeque};
@@ -114,22 +114,25 @@
             };
             let is_gone = self.now - job.came >= UNREAD_MS;
             let processor = &router.processor;
-            let intake =
-                Intake::of_connection(late_ms, processor.arrivals, processor.limit.takes());
-            if intake == Intake::Wait {
+            let intake = Admission::for_connection(
+                late_ms,
+                processor.arrivals,
+                processor.limit.connections_max(),
+            );
+            if intake == Admission::Wait {
                 break;
             }
             let Some(job) = router.backlog.pop_front() else {
                 break;
             };
-            if is_gone || intake == Intake::Close {
+            if is_gone || intake == Admission::Close {
                 router.processor.arrivals.closed += 1;
                 took_us += CLOSE_US;
                 self.refused(job, BUSY_RETURN_MS as u32);
                 continue;
             }
             router.processor.taken += 1;
-            router.processor.arrivals.taken += 1;
+            router.processor.arrivals.admitted += 1;
             took_us += OPEN_US;
             router.work.push_back(Work::Try(job));
         }
@@ -165,7 +168,7 @@
 
     /// Reads a request, and refuses it while the router runs late.
     fn let_in(&mut self, at: usize, job: Job) -> u64 {
-        if Intake::of_request(self.late_ms(at)) == Intake::Refuse {
+        if Admission::for_request(self.late_ms(at)) == Admission::Refuse {
             self.refused(job, BUSY_RETURN_MS as u32);
             return READ_US + REFUSE_US;
         }
@@ -191,9 +194,9 @@
         let processor = &self.routers[at].processor;
         let probes = Probes {
             last_ms: processor.last_ms,
-            before_ms: processor.before_ms,
+            previous_ms: processor.before_ms,
             overdue_ms: self.now.saturating_sub(processor.due),
-            taken: processor.taken,
+            admitted: processor.taken,
         };
         probes.lateness()
     }
@@ -214,11 +217,13 @@
         processor.before_ms = std::mem::replace(&mut processor.last_ms, late_ms);
         processor.due = self.now + PROBE_MS;
         processor.is_woken = false;
-        let lasting_ms = Probes::lasting(late_ms, processor.before_ms, processor.taken);
+        let lasting_ms = Probes::sustained(late_ms, processor.before_ms, processor.taken);
         processor.taken = 0;
-        processor.limit.probe(lasting_ms, processor.arrivals.taken);
+        processor
+            .limit
+            .probe(lasting_ms, processor.arrivals.admitted);
         processor.arrivals = Arrivals::default();
-        processor.overload.note_hot(router.dispatcher.is_hot());
+        processor.overload.set_hot(router.dispatcher.is_hot());
         (processor.overload).probe(Millis(self.now), late_ms, false);
     }
 
@@ -227,7 +232,7 @@
     pub(super) fn ask_ready(&mut self) {
         for router in &mut self.routers {
             let processor = &mut router.processor;
-            processor.misses = match processor.overload.is_away() {
+            processor.misses = match processor.overload.is_unready() {
                 true => processor.misses + 1,
                 false => 0,
             };
--- a/components/coordination/tests/homes.rs
+++ b/components/coordination/tests/regions.rs
@@ -5,10 +5,12 @@
 mod views;
 
 use arrivals::grant;
-use coordination::ask::{Ask, Refusal, Report, Verdict};
 use coordination::assignment::shards;
-use coordination::dispatcher::{Arrival, Dispatcher, Effect, Full, Handle, LOCAL_MS, REMOTE_MS};
-use coordination::homes::Homes;
+use coordination::dispatcher::{
+    Arrival, Dispatcher, Effect, Handle, Rejection, LOCAL_AFTER_MS, REMOTE_AFTER_MS,
+};
+use coordination::messages::{Ask, Refusal, Report, Verdict};
+use coordination::regions::Regions;
 use rstest::rstest;
 use state::clock::Millis;
 use state::id::{EndpointId, Name};
@@ -30,9 +32,9 @@
     view
 }
 
-fn homes(regions: &[&str]) -> Homes {
+fn region_set(regions: &[&str]) -> Regions {
     let names: Vec<Name> = regions.iter().map(|r| name(r)).collect();
-    Homes::of(&names)
+    Regions::named(&names)
 }
 
 /// A router in a region with links to all schedulers.
@@ -45,9 +47,9 @@
     dispatcher
 }
 
-fn arrival(homes: Homes) -> Arrival {
+fn arrival(regions: Regions) -> Arrival {
     Arrival {
-        homes,
+        regions,
         ..arrivals::arrival(SERVICE)
     }
 }
@@ -61,15 +63,15 @@
     each.collect()
 }
 
-fn regions(effects: &[Effect]) -> Vec<String> {
+fn asked_regions(effects: &[Effect]) -> Vec<String> {
     asks(effects)
         .into_iter()
         .map(|(region, _)| region)
         .collect()
 }
 
-fn arrive(router: &mut Dispatcher, view: &View, homes: Homes) -> (Handle, Vec<Effect>) {
-    let (handle, mut effects) = router.arrive(Millis(0), view, arrival(homes)).unwrap();
+fn arrive(router: &mut Dispatcher, view: &View, regions: Regions) -> (Handle, Vec<Effect>) {
+    let (handle, mut effects) = router.arrive(Millis(0), view, arrival(regions)).unwrap();
     effects.extend(router.tick(Millis(0), view));
     (handle, effects)
 }
@@ -83,8 +85,8 @@
 fn can_ask_in_a_home_alone(#[case] router_in: &str, #[case] of: &[&str], #[case] asked_in: &str) {
     let view = three();
     let mut router = router(&view, router_in);
-    let (_, effects) = arrive(&mut router, &view, homes(of));
-    assert_eq!(regions(&effects), [asked_in]);
+    let (_, effects) = arrive(&mut router, &view, region_set(of));
+    assert_eq!(asked_regions(&effects), [asked_in]);
 }
 
 /// Guards against an ask in another region, beside the one at home, of a request that waits
@@ -93,15 +95,15 @@
 fn can_keep_a_request_that_waits_in_its_homes() {
     let view = three();
     let mut router = router(&view, "east");
-    arrive(&mut router, &view, homes(&["east"]));
+    arrive(&mut router, &view, region_set(&["east"]));
     for n in 0..40 {
-        let effects = router.tick(Millis(REMOTE_MS + n * 20), &view);
-        assert_eq!(regions(&effects), [""; 0]);
+        let effects = router.tick(Millis(REMOTE_AFTER_MS + n * 20), &view);
+        assert_eq!(asked_regions(&effects), [""; 0]);
     }
-    let (_, effects) = arrive(&mut router, &view, homes(&["east", "north"]));
-    let mut asked = regions(&effects);
+    let (_, effects) = arrive(&mut router, &view, region_set(&["east", "north"]));
+    let mut asked = asked_regions(&effects);
     for n in 0..40 {
-        asked.extend(regions(&router.tick(Millis(2000 + n * 20), &view)));
+        asked.extend(asked_regions(&router.tick(Millis(2000 + n * 20), &view)));
     }
     assert_eq!(asked, ["east", "north"]);
 }
@@ -111,7 +113,7 @@
 fn can_keep_a_request_that_comes_back_in_its_homes() {
     let view = three();
     let mut router = router(&view, "east");
-    let (handle, effects) = arrive(&mut router, &view, homes(&["west"]));
+    let (handle, effects) = arrive(&mut router, &view, region_set(&["west"]));
     let (_, ask) = asks(&effects)[0].clone();
     let epoch = view
         .assignments
@@ -121,10 +123,10 @@
     let grant = grant(epoch, ask.seq, EndpointId(3));
     let effects = router.grant(Millis(1), grant);
     assert!(effects.contains(&Effect::Dispatch(handle, EndpointId(3))));
-    let mut effects = router.again(Millis(2), handle, Verdict::Failed);
+    let mut effects = router.requeue(Millis(2), handle, Verdict::Failed);
     effects.extend(router.tick(Millis(3), &view));
     let all = asks(&effects);
-    assert_eq!(regions(&effects), ["west"]);
+    assert_eq!(asked_regions(&effects), ["west"]);
     let refusal = Refusal {
         epoch,
         seq: all[0].1.seq,
@@ -132,7 +134,7 @@
         after_ms: 300,
     };
     let effects = router.refuse(Millis(4), refusal);
-    assert_eq!(regions(&effects), [""; 0]);
+    assert_eq!(asked_regions(&effects), [""; 0]);
     assert!(matches!(effects[..], [Effect::Refuse(..)]), "{effects:?}");
 }
 
@@ -142,14 +144,14 @@
 fn can_refuse_a_request_whose_homes_have_nothing_left() {
     let mut view = three();
     let mut router = router(&view, "east");
-    let (handle, _) = arrive(&mut router, &view, homes(&["west"]));
+    let (handle, _) = arrive(&mut router, &view, region_set(&["west"]));
     view.leaving.insert(EndpointId(3));
     let effects = router.follow(Millis(5), &view);
-    assert_eq!(regions(&effects), [""; 0]);
+    assert_eq!(asked_regions(&effects), [""; 0]);
     assert!(effects.contains(&Effect::Unserved(handle)), "{effects:?}");
-    let newcomer = router.arrive(Millis(6), &view, arrival(homes(&["west"])));
-    assert_eq!(newcomer.err(), Some(Full::NoEndpoint));
-    let other = router.arrive(Millis(6), &view, arrival(homes(&["west", "north"])));
+    let newcomer = router.arrive(Millis(6), &view, arrival(region_set(&["west"])));
+    assert_eq!(newcomer.err(), Some(Rejection::NoEndpoint));
+    let other = router.arrive(Millis(6), &view, arrival(region_set(&["west", "north"])));
     assert!(other.is_ok());
 }
 
@@ -162,11 +164,11 @@
         router.link_down(Millis(0), &name(&format!("s-{n}")));
     }
     let (handle, _) = router
-        .arrive(Millis(0), &view, arrival(homes(&["north"])))
+        .arrive(Millis(0), &view, arrival(region_set(&["north"])))
         .unwrap();
     let mut sent = Vec::new();
     for n in 0..10 {
-        sent.extend(router.tick(Millis(LOCAL_MS + n * 20), &view));
+        sent.extend(router.tick(Millis(LOCAL_AFTER_MS + n * 20), &view));
     }
     assert!(
         sent.contains(&Effect::Dispatch(handle, EndpointId(2))),
@@ -177,14 +179,20 @@
 /// Guards against two sets of homes of which only one counts.
 #[test]
 fn can_combine_the_homes_of_a_rule_and_of_a_customer() {
-    let both = homes(&["east", "west"]).and(homes(&["west", "north"]));
+    let both = region_set(&["east", "west"]).intersection(region_set(&["west", "north"]));
     let allowed: Vec<&str> = REGIONS
         .into_iter()
-        .filter(|r| both.allow(&name(r)))
+        .filter(|r| both.contains(&name(r)))
         .collect();
     assert_eq!(allowed, ["west"]);
-    assert!(homes(&[]).and(homes(&["west"])).allow(&name("west")));
-    assert!(!homes(&["west"]).and(homes(&[])).allow(&name("east")));
-    assert!(homes(&["east"]).and(homes(&["west"])).is_empty());
-    assert!(!homes(&[]).is_empty());
+    assert!(region_set(&[])
+        .intersection(region_set(&["west"]))
+        .contains(&name("west")));
+    assert!(!region_set(&["west"])
+        .intersection(region_set(&[]))
+        .contains(&name("east")));
+    assert!(region_set(&["east"])
+        .intersection(region_set(&["west"]))
+        .is_empty());
+    assert!(!region_set(&[]).is_empty());
 }
--- a/components/coordination/tests/restart.rs
+++ b/components/coordination/tests/restart.rs
@@ -4,9 +4,9 @@
 mod asks;
 mod endpoints;
 
-use coordination::ask::{Hello, Report, Seq, Verdict};
 use coordination::health::{EJECT_MS, FAILURES};
 use coordination::listing::Roster;
+use coordination::messages::{Hello, Report, Seq, Verdict};
 use coordination::prompt::{Part, Prompt};
 use coordination::scheduler::{Effect, Scheduler, Session, GATHER_MS};
 use state::clock::Millis;
@@ -47,7 +47,7 @@
 fn sent(scheduler: &mut Scheduler, session: Session, now: u64, seq: u64) -> (EndpointId, u32) {
     let effects = scheduler.take(Millis(now), session, ask(seq));
     let grants = effects.iter().find_map(|effect| match effect {
-        Effect::Grant(_, grant) => Some((grant.endpoint, grant.basis.to_read)),
+        Effect::Grant(_, grant) => Some((grant.endpoint, grant.forecast.to_read)),
         _ => None,
     });
     grants.unwrap()
--- a/components/coordination/tests/scan/mod.rs
+++ b/components/coordination/tests/scan/mod.rs
@@ -1,9 +1,9 @@
 //! The naive way to place a request: a look at every engine.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
-use coordination::ask::Verdict;
 use coordination::engine::{Changes, Engine, Reading, Source};
 use coordination::health::Health;
+use coordination::messages::Verdict;
 use coordination::prompt::{Part, Prompt};
 use coordination::reliability::Reliability;
 use coordination::slot::Wish;
@@ -113,12 +113,12 @@
         match verdict {
             Verdict::Fine => slot.reliability.note(now, false),
             Verdict::Failed | Verdict::Error => slot.reliability.note(now, true),
-            Verdict::Gone => {}
+            Verdict::Cancelled => {}
         }
         match verdict {
             Verdict::Fine | Verdict::Error => _ = slot.health.fine(),
             Verdict::Failed => _ = slot.health.failed(now),
-            Verdict::Gone => {}
+            Verdict::Cancelled => {}
         }
     }
 
--- a/components/coordination/tests/spread.rs
+++ b/components/coordination/tests/spread.rs
@@ -3,11 +3,11 @@
 
 mod views;
 
-use coordination::ask::{Ask, Basis, Class, Grant, Hello, Refusal, Report};
 use coordination::assignment::shards;
-use coordination::dispatcher::{Arrival, Bounds, Dispatcher, Effect, Full, Handle, Home};
-use coordination::homes::Homes;
+use coordination::dispatcher::{Arrival, Bounds, Dispatcher, Effect, Handle, Location, Rejection};
+use coordination::messages::{Ask, Class, Forecast, Grant, Hello, Refusal, Report};
 use coordination::prompt::Prompt;
+use coordination::regions::Regions;
 use state::clock::Millis;
 use state::config::Engine;
 use state::id::{CustomerId, EndpointId, Epoch};
@@ -33,7 +33,7 @@
 
 /// A router in a data centre with links to all schedulers.
 fn router(view: &View, centre: u32) -> Dispatcher {
-    let home = Home {
+    let home = Location {
         region: name("main"),
         data_centre: name(&format!("dc-{centre}")),
         incarnation: 100 + u64::from(centre),
@@ -67,7 +67,7 @@
         aim: Millis(now + AIM_MS),
         prompt: Prompt::new([(part, shared), (1 << 40 | own, 1000)], 50),
         bytes: 0,
-        homes: Homes::default(),
+        regions: Regions::default(),
         deadline: Millis(now + 10_000),
     }
 }
@@ -160,7 +160,7 @@
             seq: ask.seq,
             endpoint: EndpointId(0),
             copy_from: None,
-            basis: Basis::default(),
+            forecast: Forecast::default(),
             level: 0,
             floor: 0,
             routers: 4,
@@ -251,7 +251,7 @@
         }
     }
     let next = router.arrive(Millis(30), &view, arrival(30, 7, 300, 99));
-    assert!(matches!(next, Err(Full::Late { .. })), "{next:?}");
+    assert!(matches!(next, Err(Rejection::Late { .. })), "{next:?}");
     // Old news counts less and less.
     let (_, back, _) = arrive(&mut router, &view, arrival(1500, 7, 300, 100));
     assert_eq!(back, first);
@@ -294,7 +294,7 @@
         seq: ask.seq,
         endpoint: EndpointId(2),
         copy_from: None,
-        basis: Basis::default(),
+        forecast: Forecast::default(),
         level: 0,
         floor: 0,
         routers: 1,
--- a/components/node/src/batch.rs
+++ b/components/node/src/batch.rs
@@ -1,6 +1,6 @@
 //! Messages of one round of the reactor, joined by receiver.
 
-use coordination::ask::{Grant, Refusal, Report};
+use coordination::messages::{Grant, Refusal, Report};
 use protocol::wire::Message;
 use smallvec::SmallVec;
 use state::config::Endpoint;
--- a/components/node/src/front/admit.rs
+++ b/components/node/src/front/admit.rs
@@ -7,7 +7,7 @@
 use crate::interface::Asked;
 use crate::shared::Published;
 use bytes::{Bytes, BytesMut};
-use coordination::intake::Intake;
+use coordination::admission::Admission;
 use http_body_util::BodyExt;
 use hyper::body::{Body as _, Incoming};
 use hyper::header::{HeaderValue, CONTENT_LENGTH, HOST, TRANSFER_ENCODING};
@@ -71,7 +71,7 @@
 /// moved on in time. Refused at once they come back to another router, and the
 /// processor stays with those that were let in.
 fn check_lateness(front: &Front, id: RequestId) -> Result<(), Refusal> {
-    if front.parts.lateness.request() == Intake::Take {
+    if front.parts.lateness.request() == Admission::Admit {
         return Ok(());
     }
     let text = "this router has more to do than it can in time; another one may have room";
--- a/components/node/src/front/guests.rs
+++ b/components/node/src/front/guests.rs
@@ -1,6 +1,6 @@
 //! Callers' connections, and how one is told to give way.
 
-use coordination::rest::{Guest, Rests};
+use coordination::idle::{Key, Tracker};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -13,11 +13,11 @@
 
 #[derive(Default)]
 struct Table {
-    rests: Rests,
+    rests: Tracker,
     /// How to tell each connection to end.
-    ends: HashMap<Guest, Arc<Ends>>,
+    ends: HashMap<Key, Arc<Ends>>,
     /// When the answers are to be over that are being passed on.
-    answers: HashMap<Guest, Instant>,
+    answers: HashMap<Key, Instant>,
 }
 
 /// How one connection is told to end.
@@ -38,14 +38,14 @@
 /// One connection; when dropped, it is forgotten.
 pub(super) struct Place {
     guests: Arc<Guests>,
-    guest: Guest,
+    guest: Key,
     ends: Arc<Ends>,
 }
 
 /// A request that is on a connection, until it is dropped.
 pub(super) struct Use {
     guests: Arc<Guests>,
-    guest: Guest,
+    guest: Key,
 }
 
 impl Guests {
@@ -73,7 +73,7 @@
     /// Tells the connection that has rested longest to end; false if none has for long enough.
     pub(super) fn make_room(&self) -> bool {
         let mut table = self.table();
-        let Some(guest) = table.rests.take_longest(self.clock.now()) else {
+        let Some(guest) = table.rests.take_longest_idle(self.clock.now()) else {
             return false;
         };
         if let Some(ends) = table.ends.get(&guest) {
--- a/components/node/src/front/listen.rs
+++ b/components/node/src/front/listen.rs
@@ -13,8 +13,8 @@
 use crate::quarantine::Verdicts;
 use crate::shared::{raised, Published};
 use crate::vitals::{Lateness, PROBE};
+use coordination::admission::Admission;
 use coordination::budget::Budget;
-use coordination::intake::Intake;
 use coordination::limit::Ceiling;
 use coordination::retry;
 use http_body_util::BodyExt;
@@ -118,7 +118,7 @@
             places: Arc::new(Semaphore::new(parts.budget.connections)),
             busy_lines: Mutex::new(Ceiling::new(BUSY_LINES)),
             successes: Mutex::default(),
-            pool: Arc::new(Pool::new(parts.budget.kept)),
+            pool: Arc::new(Pool::new(parts.budget.idle_connections)),
             guests: Guests::new(parts.clock.clone()),
             parts,
             requests: AtomicU64::new(0),
@@ -200,7 +200,7 @@
                 continue;
             }
             let stream = accept(listener).await;
-            if self.parts.lateness.connection() == Intake::Take {
+            if self.parts.lateness.connection() == Admission::Admit {
                 return stream;
             }
             // Its task would run after all that is late.
--- a/components/node/src/front/note.rs
+++ b/components/node/src/front/note.rs
@@ -7,7 +7,7 @@
 use crate::input::Dispatch;
 use crate::metric::{Labels, Metrics};
 use crate::shared::Published;
-use coordination::ask::Placement;
+use coordination::messages::Placement;
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
 use state::clock::Millis;
@@ -118,7 +118,7 @@
         self.endpoint = Some(dispatch.name.clone());
         let Placement {
             epoch,
-            basis,
+            forecast,
             unasked_ms,
             ..
         } = dispatch.placement;
@@ -132,9 +132,9 @@
             endpoint = dispatch.name.as_str(),
             version = self.version,
             epoch = epoch.0,
-            to_read = basis.to_read,
-            ahead_ms = basis.ahead_ms,
-            first_ms = basis.first_ms,
+            to_read = forecast.to_read,
+            ahead_ms = forecast.ahead_ms,
+            first_ms = forecast.first_ms,
             copy_from = dispatch.copy_from.map(tracing::field::display),
             tries = self.tries,
             unasked_ms,
--- a/components/node/src/front/plan.rs
+++ b/components/node/src/front/plan.rs
@@ -7,10 +7,10 @@
 use crate::interface::Asked;
 use crate::shared::Published;
 use bytes::Bytes;
-use coordination::ask::Class;
 use coordination::dispatcher::Arrival;
-use coordination::homes::Homes;
+use coordination::messages::Class;
 use coordination::prompt::Prompt;
+use coordination::regions::Regions;
 use coordination::rule;
 use hyper::{HeaderMap, StatusCode, Uri};
 use state::config::{Config, Cost, Customer, Engine, Rule, Service, Then};
@@ -89,9 +89,10 @@
         customer: known.map_or(ANONYMOUS, |(id, _)| id),
         rule: place,
     };
-    let homes = Homes::of(&send.regions);
-    let homes = homes.and(known.map_or(Homes::default(), |(_, c)| Homes::of(&c.regions)));
-    if homes.is_empty() {
+    let regions = Regions::named(&send.regions);
+    let regions =
+        regions.intersection(known.map_or(Regions::default(), |(_, c)| Regions::named(&c.regions)));
+    if regions.is_empty() {
         return Err(no_endpoint());
     }
     let now = front.parts.clock.now();
@@ -106,7 +107,7 @@
         hint: hint(asked, settings, &prompt),
         prompt,
         bytes: call.body.len() as u64,
-        homes,
+        regions,
         aim: now.after(send.aim_ms.unwrap_or(millis(timeout))),
         deadline: now.after(millis(timeout)),
     };
@@ -118,7 +119,7 @@
         cost: settings.cost,
         engine: settings.engine,
         timeout,
-        idempotent: rule::idempotent(send.idempotent, settings, call.method.as_str()),
+        idempotent: rule::is_idempotent(send.idempotent, settings, call.method.as_str()),
         retries: send.retries.unwrap_or(RETRIES),
         arrival,
     })
@@ -157,7 +158,7 @@
         // CAST: `usize` is at most 64 bits on every supported target.
         size: asked.size.map_or(call.body.len() as u64, u64::from),
     };
-    let found = rule::decide(&config.rules, published.index.routes(), &request);
+    let found = rule::first_match(&config.rules, published.index.routes(), &request);
     found.ok_or_else(|| {
         if customer.is_none() && config.rules.iter().any(is_for_some) {
             return unknown_customer();
--- a/components/node/src/front/refusal.rs
+++ b/components/node/src/front/refusal.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::{Interface, IDENTITY};
 use bytes::Bytes;
-use coordination::ask;
+use coordination::messages;
 use http_body_util::Full;
 use hyper::header::{HeaderName, HeaderValue, CONTENT_TYPE};
 use hyper::{Response, StatusCode};
@@ -23,7 +23,7 @@
     /// Time after which coming back makes sense.
     pub(crate) retry_after: Option<Duration>,
     /// What a scheduler knew that refused it.
-    pub(crate) basis: Option<ask::Refusal>,
+    pub(crate) basis: Option<messages::Refusal>,
 }
 
 impl Refusal {
--- a/components/node/src/front/relay.rs
+++ b/components/node/src/front/relay.rs
@@ -8,8 +8,8 @@
 use crate::journal::Journal;
 use crate::vitals::Lateness;
 use bytes::Bytes;
-use coordination::ask::Verdict;
 use coordination::dispatcher::Handle;
+use coordination::messages::Verdict;
 use coordination::prompt::Prompt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::StatusCode;
@@ -53,7 +53,7 @@
             return;
         }
         let step = match self.verdict {
-            Verdict::Gone => Step::CallerGone,
+            Verdict::Cancelled => Step::CallerGone,
             Verdict::Fine | Verdict::Failed | Verdict::Error => Step::Ended,
         };
         self.journal.note(Event::new(step).request(self.id));
--- a/components/node/src/front/serve.rs
+++ b/components/node/src/front/serve.rs
@@ -13,9 +13,9 @@
 use crate::interface::IDENTITY;
 use crate::shared::Published;
 use bytes::Bytes;
-use coordination::ask::Verdict;
-use coordination::dispatcher::{Full as QueueFull, Handle};
-use coordination::retry::{self, Next, Reach, Try};
+use coordination::dispatcher::{Handle, Rejection as QueueFull};
+use coordination::messages::Verdict;
+use coordination::retry::{self, Action, Failure, Reach};
 use http_body_util::{Either, Full};
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONNECTION, CONTENT_TYPE};
@@ -103,7 +103,7 @@
 /// Closed instead, a connection could cross a request that its caller has just
 /// sent on it: one would see the request fail that could have been served.
 fn last(front: &Front, mut reply: Reply, is_busy: bool, is_refused: bool) -> Reply {
-    let is_scarce = front.parts.budget.is_scarce(front.connections());
+    let is_scarce = front.parts.budget.is_nearly_full(front.connections());
     let is_elsewhere = is_refused && front.parts.lateness.is_passed_over();
     let published = front.parts.published.borrow();
     if is_scarce || is_busy || is_elsewhere || published.is_dedicated || published.stopping {
@@ -206,7 +206,7 @@
             handle,
             id: call.id,
             cost: Meter::new(plan.cost, plan.arrival.prompt, plan.engine),
-            verdict: Verdict::Gone,
+            verdict: Verdict::Cancelled,
             armed: true,
             reactor: front.parts.reactor.clone(),
             journal: front.parts.journal.clone(),
@@ -266,7 +266,7 @@
             unconnected += 1;
             continue;
         }
-        let attempt = Try {
+        let attempt = Failure {
             reach: failed.reach,
             idempotent: plan.idempotent,
             retries,
@@ -274,10 +274,10 @@
             deadline: plan.arrival.deadline,
         };
         let now = front.parts.clock.now();
-        let next = front.with_budget(plan.service, |budget| retry::after(attempt, now, budget));
+        let next = front.with_budget(plan.service, |budget| retry::decide(attempt, now, budget));
         note.failed(&failed, next.as_str());
         slot.verdict = failed.verdict;
-        if next != Next::Again {
+        if next != Action::Retry {
             return Err(give_up(next, &dispatch, &failed));
         }
         decided = again(front, slot).await?;
@@ -423,17 +423,17 @@
     receiver.await.map_err(|_| no_endpoint())
 }
 
-fn give_up(next: Next, dispatch: &Dispatch, failed: &Failed) -> Refusal {
+fn give_up(next: Action, dispatch: &Dispatch, failed: &Failed) -> Refusal {
     let status = StatusCode::BAD_GATEWAY;
     let text = format!("{}: {}", dispatch.name, failed.error);
     match next {
-        Next::NotRun if failed.backoff.is_some() => {
+        Action::NotRun if failed.backoff.is_some() => {
             // The next try goes to another endpoint.
             let after = ELSEWHERE * rand::random_range(1..=3);
             Refusal::not_run(status, "endpoint-backoff", text).after_time(after)
         }
-        Next::NotRun => Refusal::not_run(status, "endpoint-unreachable", text).after(1),
-        Next::Unknown | Next::Again => Refusal::unknown(status, "endpoint-failed", text),
+        Action::NotRun => Refusal::not_run(status, "endpoint-unreachable", text).after(1),
+        Action::Unknown | Action::Retry => Refusal::unknown(status, "endpoint-failed", text),
     }
 }
 
--- a/components/node/src/front/upstream.rs
+++ b/components/node/src/front/upstream.rs
@@ -9,8 +9,8 @@
 use crate::input::Dispatch;
 use crate::interface::{Answered, Interface, Onward};
 use bytes::Bytes;
-use coordination::ask::Verdict;
 use coordination::backoff::Backoff;
+use coordination::messages::Verdict;
 use coordination::retry::Reach;
 use errors::{Error, Result};
 use http_body_util::Full;
@@ -140,7 +140,7 @@
 fn unconnected(error: Error) -> Failed {
     let verdict = match error {
         Error::Peer { .. } => Verdict::Failed,
-        _ => Verdict::Gone,
+        _ => Verdict::Cancelled,
     };
     Failed {
         unconnected: true,
@@ -165,7 +165,7 @@
         is_leaving,
         rest,
     } = (interface.answer)(&head);
-    let rest = rest.map(|time| Backoff::resting(to.endpoint, time));
+    let rest = rest.map(|time| Backoff::pausing(to.endpoint, time));
     let backoff = is_leaving.then(|| Backoff::leaving(to.endpoint)).or(rest);
     let wrong = |reason: &str| Error::Peer {
         step: "read an answer",
@@ -189,7 +189,7 @@
     if not_run {
         return Err(Failed {
             // One that says that it is full is not broken.
-            verdict: Verdict::Gone,
+            verdict: Verdict::Cancelled,
             backoff,
             ..Failed::new(
                 Reach::Nothing,
--- a/components/node/src/input.rs
+++ b/components/node/src/input.rs
@@ -2,9 +2,9 @@
 
 use crate::interface::Told;
 use crate::shared::Status;
-use coordination::ask::{Placement, Refusal, Verdict};
 use coordination::backoff::Backoff;
-use coordination::dispatcher::{Arrival, Full, Handle};
+use coordination::dispatcher::{Arrival, Handle, Rejection};
+use coordination::messages::{Placement, Refusal, Verdict};
 use protocol::wire::{Query, Reply};
 use state::clock::Millis;
 use state::id::{EndpointId, Name};
@@ -73,7 +73,10 @@
     /// Something happened on the links.
     Link(link::Event),
     /// A request arrives.
-    Arrive(Arrival, oneshot::Sender<Result<(Handle, Decided), Full>>),
+    Arrive(
+        Arrival,
+        oneshot::Sender<Result<(Handle, Decided), Rejection>>,
+    ),
     /// A waiting request's caller has gone.
     Leave(Handle),
     /// A request failed and is to be queued again.
--- a/components/node/src/platform.rs
+++ b/components/node/src/platform.rs
@@ -69,8 +69,8 @@
 
 async fn announce(reactor: &flume::Sender<Input>, view: &View, change: Change) {
     let (id, leaves) = match change {
-        Change::Leaves(id) => (id, true),
-        Change::Back(id) => (id, false),
+        Change::Leaving(id) => (id, true),
+        Change::Returned(id) => (id, false),
     };
     let Some(endpoint) = view.config.endpoints.get(&id) else {
         return;
--- a/components/node/src/process.rs
+++ b/components/node/src/process.rs
@@ -13,8 +13,8 @@
 use crate::vitals::Lateness;
 use crate::{http, inventory, listing, platform, poll, readiness, releases, vitals};
 use coordination::agree::Admission;
-use coordination::budget::{Budget, Vm};
-use coordination::dispatcher::{Bounds, Home};
+use coordination::budget::{Budget, Resources};
+use coordination::dispatcher::{Bounds, Location};
 use coordination::retry;
 use errors::{Error, Result};
 use protocol::wire::Hello;
@@ -251,8 +251,8 @@
     fn budget(settings: &Settings) -> Budget {
         let named = settings.vm.descriptors.unwrap_or(u64::MAX);
         let limit = transport::descriptor::limit().unwrap_or(u64::MAX);
-        let vm = Vm {
-            memory: settings.vm.memory,
+        let vm = Resources {
+            memory_bytes: settings.vm.memory,
             descriptors: named.min(limit),
         };
         let budget = Budget::from(vm);
@@ -383,7 +383,7 @@
             metrics: self.metrics.clone(),
             seeds,
             listing_ms: (self.settings.listing.as_ref()).map_or(LISTING_MS, |l| l.every_ms),
-            home: Home {
+            home: Location {
                 region: self.settings.vm.region.clone(),
                 data_centre: self.settings.vm.data_centre.clone(),
                 incarnation: hub.hello().incarnation,
--- a/components/node/src/reactor/mod.rs
+++ b/components/node/src/reactor/mod.rs
@@ -19,10 +19,10 @@
 use coordination::backoff::Backoff;
 use coordination::candidacy::Candidacy;
 use coordination::cell::{Catalogue, Cells};
-use coordination::dispatcher::{Bounds, Dispatcher, Effect, Effects, Handle, Home};
+use coordination::dispatcher::{Bounds, Dispatcher, Effect, Effects, Handle, Location};
+use coordination::failback::Failbacks;
 use coordination::listing::Roster;
 use coordination::recent::Recent;
-use coordination::returns::Returns;
 use protocol::wire::{Message, Reply};
 use state::clock::Millis;
 use state::config::{Endpoint, Index};
@@ -62,7 +62,7 @@
     /// milliseconds.
     pub(crate) listing_ms: u64,
     /// Where this VM stands.
-    pub(crate) home: Home,
+    pub(crate) home: Location,
     /// Bounds of the dispatcher.
     pub(crate) bounds: Bounds,
     /// Children to feed.
@@ -108,7 +108,7 @@
     /// Shards that have endpoints.
     shards: usize,
     /// Data centres whose evacuation has ended.
-    returns: Returns,
+    returns: Failbacks,
     /// Control VMs as the control role of this process knows them.
     members: Vec<Place>,
     leads: bool,
@@ -189,7 +189,7 @@
             recent: Recent::default(),
             is_recent_used: false,
             shards: 0,
-            returns: Returns::default(),
+            returns: Failbacks::default(),
             members: Vec::new(),
             leads: false,
             is_led: false,
@@ -278,7 +278,7 @@
                 self.parts.metrics.retries.inc();
                 let (sender, decided) = oneshot::channel();
                 self.decisions.insert(handle, sender);
-                let effects = self.dispatcher.again(now, handle, verdict);
+                let effects = self.dispatcher.requeue(now, handle, verdict);
                 self.act(now, effects);
                 if reply.send(decided).is_err() {
                     self.leave(now, handle);
@@ -359,7 +359,7 @@
 
     fn leave(&mut self, now: Millis, handle: Handle) {
         self.decisions.remove(&handle);
-        let effects = self.dispatcher.leave(now, handle);
+        let effects = self.dispatcher.cancel(now, handle);
         self.act(now, effects);
     }
 
@@ -465,7 +465,7 @@
             }
             Message::Introductions(all) => {
                 for (id, endpoint) in all {
-                    self.recent.note(now, id, endpoint);
+                    self.recent.insert(now, id, endpoint);
                 }
             }
             Message::Subtree(routers) => self.dissemination.take_subtree(&vm, routers),
@@ -566,13 +566,13 @@
     /// Follows a change of the view or of the platform's endpoints.
     fn follow_live(&mut self, now: Millis) {
         let mut live = self.live_view(now);
-        self.returns.follow(now, wall_micros(), &mut live);
+        self.returns.mark_cold(now, wall_micros(), &mut live);
         self.live = Arc::new(live);
         self.schedulers.follow(now, &self.live, &mut self.batch);
         let effects = self.dispatcher.follow(now, &self.live);
         self.act(now, effects);
         if self.parts.callers {
-            self.dispatcher.open_near(now, &self.live);
+            self.dispatcher.open_nearby(now, &self.live);
         }
         let shards = coordination::assignment::shards(&self.live);
         self.shards = shards.len();
@@ -638,7 +638,7 @@
         let sender = self.decisions.remove(&handle);
         let found = self.endpoint(endpoint);
         let (Some(found), Some(sender)) = (found, sender) else {
-            let gone = coordination::ask::Verdict::Gone;
+            let gone = coordination::messages::Verdict::Cancelled;
             let effects = self.dispatcher.done(now, handle, 0, gone);
             self.act(now, effects);
             return;
@@ -655,7 +655,7 @@
         };
         if sender.send(Decision::Dispatch(dispatch)).is_err() {
             // The caller left while the grant was on its way: no byte was sent.
-            let gone = coordination::ask::Verdict::Gone;
+            let gone = coordination::messages::Verdict::Cancelled;
             let effects = self.dispatcher.done(now, handle, 0, gone);
             self.act(now, effects);
         }
--- a/components/node/src/reactor/peers.rs
+++ b/components/node/src/reactor/peers.rs
@@ -1,7 +1,7 @@
 //! Other processes: who is reached, and how new the view is.
 
 use super::Reactor;
-use coordination::candidacy::Known;
+use coordination::candidacy::Status;
 use protocol::wire::{Message, Query, Reply};
 use state::clock::Millis;
 use state::id::Name;
@@ -60,7 +60,7 @@
     /// Decides whether this VM stands as a candidate for schedulers.
     pub(super) fn stand(&mut self, now: Millis) {
         let is_lost = |(_, is_up): (_, bool)| !is_up;
-        let known = Known {
+        let known = Status {
             is_assigned: self.view.assignments.iter().any(|a| a.place.vm == self.me),
             is_unscheduled: self.is_unassigned || self.dispatcher.shards().any(is_lost),
             routers: self.dissemination.size(),
@@ -68,7 +68,7 @@
         };
         // Before the fleet is counted nobody stands who does not schedule: all would.
         let may_stand = known.is_assigned || known.routers.is_some();
-        let stands = self.parts.scheduler && may_stand && self.candidacy.stands(now, known);
+        let stands = self.parts.scheduler && may_stand && self.candidacy.is_candidate(now, known);
         if stands && !self.is_candidate {
             self.dial_control();
         }
--- a/components/node/src/schedulers.rs
+++ b/components/node/src/schedulers.rs
@@ -6,9 +6,9 @@
 use crate::journal::Journal;
 use crate::metric::{value, Metrics};
 use crate::shared::ShardStatus;
-use coordination::ask::{Kept, Report, Served};
 use coordination::assignment;
 use coordination::dispatcher::{endpoints, set_cold, set_engines};
+use coordination::messages::{Cached, Report, Served};
 use coordination::scheduler::{Effect, Effects, Scheduler, Session};
 use state::clock::Millis;
 use state::config::Endpoint;
@@ -186,7 +186,7 @@
 
     /// What engines of each scheduler have come to keep, for the others of its service in its
     /// region: prompts must not be copied to another one.
-    pub(crate) fn kept(&mut self, view: &View) -> Vec<(Assignment, Vec<Kept>)> {
+    pub(crate) fn kept(&mut self, view: &View) -> Vec<(Assignment, Vec<Cached>)> {
         let mut all = Vec::new();
         for assigned in self.all.values_mut() {
             let fresh = assigned.scheduler.tell_kept();
@@ -217,7 +217,7 @@
     }
 
     /// Takes what engines of another scheduler keep.
-    pub(crate) fn hear_kept(&mut self, view: &View, from: &Name, kept: &[Kept]) {
+    pub(crate) fn hear_kept(&mut self, view: &View, from: &Name, kept: &[Cached]) {
         for assigned in self.all.values_mut() {
             let shard = &assigned.shard;
             let is_other = |a: &&Assignment| {
--- a/components/node/src/vitals.rs
+++ b/components/node/src/vitals.rs
@@ -5,7 +5,7 @@
 
 use crate::metric::{value, Metrics};
 use crate::shared::{raised, Published};
-use coordination::intake::{Arrivals, Intake, Limit, Probes};
+use coordination::admission::{Admission, Arrivals, Limit, Probes};
 use coordination::overload::Overload;
 use state::clock::Millis;
 use state::line::Line;
@@ -66,7 +66,7 @@
             shared: Arc::default(),
         };
         lateness.shared.due.store(u64::MAX, Ordering::Relaxed);
-        (lateness.shared.takes).store(Limit::default().takes(), Ordering::Relaxed);
+        (lateness.shared.takes).store(Limit::default().connections_max(), Ordering::Relaxed);
         lateness
     }
 }
@@ -77,56 +77,56 @@
         let load = |of: &AtomicU64| of.load(Ordering::Relaxed);
         let probes = Probes {
             last_ms: load(&self.shared.last),
-            before_ms: load(&self.shared.before),
+            previous_ms: load(&self.shared.before),
             overdue_ms: self.elapsed().saturating_sub(load(&self.shared.due)),
-            taken: load(&self.shared.taken),
+            admitted: load(&self.shared.taken),
         };
         probes.lateness()
     }
 
     /// Whether what this process measures of others tells of itself.
     pub(crate) fn is_late(&self) -> bool {
-        Intake::of_request(self.ms()) != Intake::Take
+        Admission::for_request(self.ms()) != Admission::Admit
     }
 
     /// Whether a connection that waits may be accepted, if only to be closed.
     pub(crate) fn may_accept(&self) -> bool {
-        self.of_connection() != Intake::Wait
+        self.of_connection() != Admission::Wait
     }
 
     /// What to do with a connection that was accepted.
-    pub(crate) fn connection(&self) -> Intake {
+    pub(crate) fn connection(&self) -> Admission {
         let intake = self.of_connection();
         match intake {
-            Intake::Take => {
+            Admission::Admit => {
                 self.shared.taken.fetch_add(1, Ordering::Relaxed);
                 self.shared.accepted.fetch_add(1, Ordering::Relaxed);
             }
-            Intake::Close => {
+            Admission::Close => {
                 self.shared.closed.fetch_add(1, Ordering::Relaxed);
             }
-            Intake::Refuse | Intake::Wait => {}
+            Admission::Refuse | Admission::Wait => {}
         }
         intake
     }
 
-    fn of_connection(&self) -> Intake {
+    fn of_connection(&self) -> Admission {
         let takes = self.shared.takes.load(Ordering::Relaxed);
-        Intake::of_connection(self.ms(), self.arrivals(), takes)
+        Admission::for_connection(self.ms(), self.arrivals(), takes)
     }
 
     /// Connections that came since the last probe.
     fn arrivals(&self) -> Arrivals {
         Arrivals {
-            taken: self.shared.accepted.load(Ordering::Relaxed),
+            admitted: self.shared.accepted.load(Ordering::Relaxed),
             closed: self.shared.closed.load(Ordering::Relaxed),
         }
     }
 
     /// What to do with a request whose head was read.
-    pub(crate) fn request(&self) -> Intake {
-        let intake = Intake::of_request(self.ms());
-        if intake == Intake::Take {
+    pub(crate) fn request(&self) -> Admission {
+        let intake = Admission::for_request(self.ms());
+        if intake == Admission::Admit {
             self.shared.taken.fetch_add(1, Ordering::Relaxed);
         }
         intake
@@ -159,7 +159,7 @@
     fn lasting(&self) -> u64 {
         let load = |of: &AtomicU64| of.load(Ordering::Relaxed);
         let shared = &self.shared;
-        Probes::lasting(
+        Probes::sustained(
             load(&shared.last),
             load(&shared.before),
             load(&shared.taken),
@@ -210,14 +210,14 @@
             late = lateness.probe() => late,
             () = raised(&mut stop) => return,
         };
-        limit.probe(lateness.lasting(), lateness.arrivals().taken);
-        lateness.begin(limit.takes());
+        limit.probe(lateness.lasting(), lateness.arrivals().admitted);
+        lateness.begin(limit.connections_max());
         let is_full = metrics.connections.get() >= connections;
         let now = Millis(lateness.elapsed());
         let is_hot = published.borrow().is_hot;
-        overload.note_hot(is_hot);
+        overload.set_hot(is_hot);
         let is_away = overload.probe(now, late, is_full);
-        if lateness.turn(is_away, overload.is_passed_over(now)) {
+        if lateness.turn(is_away, overload.is_bypassed(now)) {
             let event = Line::Overload.as_str();
             tracing::info!(event, away = is_away, hot = is_hot, late_ms = late);
         }
--- a/components/protocol/src/wire.rs
+++ b/components/protocol/src/wire.rs
@@ -1,8 +1,8 @@
 //! The messages.
 
 use coordination::agree::Envelope;
-use coordination::ask::{Grant, Kept, Refusal, Report, Served};
 use coordination::cell;
+use coordination::messages::{Cached, Grant, Refusal, Report, Served};
 use coordination::tree::Confirm;
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
@@ -150,7 +150,7 @@
     Served(Served),
     /// From a scheduler to those of the same service in its region: parts of prompts that its
     /// engines have read.
-    Kept(Vec<Kept>),
+    Kept(Vec<Cached>),
     /// This VM does not schedule in that epoch, or not yet.
     Unassigned(Epoch),
     /// The platform's endpoints, as they are since the last reading.
