--- a/components/coordination/src/slot/mod.rs
+++ b/components/coordination/src/slot/mod.rs
@@ -406,13 +406,13 @@
         match verdict {
             Some(Verdict::Fine) => slot.reliability.record(now, false),
             Some(Verdict::Failed | Verdict::Error) => slot.reliability.record(now, true),
-            Some(Verdict::Gone) | None => {}
+            Some(Verdict::Cancelled) | None => {}
         }
         match verdict {
             // It lives: whether others would do better, its reliability tells.
             Some(Verdict::Fine | Verdict::Error) => slot.health.record_success(),
             Some(Verdict::Failed) => slot.health.record_failure(now),
-            Some(Verdict::Gone) | None => Change::None,
+            Some(Verdict::Cancelled) | None => Change::None,
         }
     }
 
