--- a/components/coordination/src/assignment.rs
+++ b/components/coordination/src/assignment.rs
@@ -1,13 +1,13 @@
 //! Which VM schedules which shard, as the leading control VM decides it.
 
 use crate::prelude::*;
-use state::view::{Assignment, Cell, Place, Shard};
+use state::view::{Assignment, Cell, Node, Shard};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Silence after which a scheduler counts as lost, in milliseconds.
 pub const SILENCE_MS: u64 = 1000;
 /// Time that a new leader waits for candidates to report, in milliseconds.
-pub const SETTLE_MS: u64 = 600;
+pub const CANDIDATE_WAIT_MS: u64 = 600;
 
 /// Endpoints in a data centre, on average over its region, from which on each data centre
 /// has a scheduler of its own. With fewer, a part of prompts would be kept in few places,
@@ -19,7 +19,7 @@
 
 /// Endpoints of a shard at most: what its scheduler holds, hears and searches is bounded by
 /// it, however many endpoints a data centre has.
-pub const CELL_MAX: usize = 512;
+pub const SHARD_ENDPOINTS_MAX: usize = 512;
 /// Endpoints of a cell on average below which two are joined again.
 const CELL_MIN: usize = 128;
 /// Cells of one data centre at most.
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Site {
     /// The VM and the address of its links.
-    pub place: Place,
+    pub node: Node,
     /// Its region.
     pub region: Name,
     /// Its data centre.
@@ -68,14 +68,14 @@
 
 impl Assigner {
     /// Starts anew as leader.
-    pub fn begin(&mut self, now: Millis) {
+    pub fn reset(&mut self, now: Millis) {
         self.candidates.clear();
-        self.from = now.after(SETTLE_MS);
+        self.from = now.after(CANDIDATE_WAIT_MS);
     }
 
     /// Hears a heartbeat of a candidate.
-    pub fn heard(&mut self, now: Millis, site: Site, incarnation: u64) {
-        let vm = site.place.vm.clone();
+    pub fn record_heartbeat(&mut self, now: Millis, site: Site, incarnation: u64) {
+        let vm = site.node.vm.clone();
         let candidate = Candidate {
             site,
             incarnation,
@@ -85,7 +85,7 @@
     }
 
     /// Forgets a candidate whose link was lost.
-    pub fn lost(&mut self, vm: &Name) {
+    pub fn remove(&mut self, vm: &Name) {
         self.candidates.remove(vm);
     }
 
@@ -108,7 +108,7 @@
             .collect();
         let mut load: BTreeMap<&Name, usize> = live.keys().map(|vm| (*vm, 0)).collect();
         for assignment in &view.assignments {
-            if let Some(n) = load.get_mut(&assignment.place.vm) {
+            if let Some(n) = load.get_mut(&assignment.node.vm) {
                 *n += 1;
             }
         }
@@ -117,10 +117,7 @@
             .filter(|s| view.config.services.contains_key(&s.service))
         {
             let held = view.assignment(shard);
-            if held.is_some_and(|s| {
-                live.get(&s.place.vm)
-                    .is_some_and(|c| c.site.place == s.place)
-            }) {
+            if held.is_some_and(|s| live.get(&s.node.vm).is_some_and(|c| c.site.node == s.node)) {
                 continue;
             }
             let best = (live.iter())
@@ -133,7 +130,7 @@
             }
             plan.push(Assignment {
                 shard: shard.clone(),
-                place: candidate.site.place.clone(),
+                node: candidate.site.node.clone(),
                 // The version that the record will bring is not known yet, but
                 // it is above the current one; so is this epoch above all others.
                 epoch: Epoch(view.version.0 + 1 + plan.len() as u64),
@@ -159,7 +156,7 @@
 /// divided by data centre, and what is still too much for one VM into cells.
 pub fn shards(view: &View) -> BTreeSet<Shard> {
     let mut regions: BTreeMap<Shard, BTreeMap<Name, usize>> = BTreeMap::new();
-    for count in view.counts().iter() {
+    for count in view.endpoint_counts().iter() {
         let Some(service) = view.config.service(&count.service) else {
             continue;
         };
@@ -205,7 +202,7 @@
     let newest = view.assignments.iter().filter(of_shard);
     let newest = newest.max_by_key(|a| a.epoch);
     let mut of = newest.and_then(|a| a.shard.cell).map_or(1, |cell| cell.of);
-    while count > usize::from(of) * CELL_MAX && of < CELLS_MAX {
+    while count > usize::from(of) * SHARD_ENDPOINTS_MAX && of < CELLS_MAX {
         of *= 2;
     }
     while of > 1 && count < usize::from(of) * CELL_MIN {
--- a/components/coordination/src/cell.rs
+++ b/components/coordination/src/cell.rs
@@ -4,15 +4,15 @@
 //! a router none but those that it is granted. Sent to all, the list and each change of it
 //! would cost every VM what the fleet is.
 
-use crate::listing::Roster;
+use crate::listing::Registry;
 use crate::prelude::*;
 use serde::{Deserialize, Serialize};
-use state::listing::{Change, Listed, Listing};
+use state::listing::{Change, Entry, Listing};
 use state::view::Shard;
 use std::collections::BTreeMap;
 
 /// Time between two questions of a scheduler, in milliseconds.
-pub const ASK_MS: u64 = 500;
+pub const POLL_INTERVAL_MS: u64 = 500;
 /// Silence after which it asks another control VM, in milliseconds.
 const SILENCE_MS: u64 = 1600;
 /// Time for which endpoints of a shard that nobody asks for any more are kept ready, in
@@ -28,7 +28,8 @@
     /// What has changed since the listing that it has.
     Change(Change),
     /// It has the newest listing.
-    Kept,
+    #[serde(rename = "kept")]
+    Unchanged,
 }
 
 #[derive(Clone, Debug)]
@@ -68,7 +69,7 @@
         let next = &mut self.next;
         let page = self.pages.entry(shard.clone()).or_insert_with(|| {
             *next = next.wrapping_add(1);
-            let of_shard = |l: &&Listed| l.endpoint.service == *service && covers(shard, l);
+            let of_shard = |l: &&Entry| l.endpoint.service == *service && covers(shard, l);
             let listing = Listing {
                 id: *next,
                 endpoints: all.endpoints.iter().filter(of_shard).cloned().collect(),
@@ -82,7 +83,7 @@
         });
         page.asked = now;
         if page.listing.id == known {
-            Answer::Kept
+            Answer::Unchanged
         } else if page.change.base == known && page.change.id == page.listing.id {
             Answer::Change(page.change.clone())
         } else {
@@ -91,16 +92,16 @@
     }
 
     /// Follows a change of the whole list: of what is held by shard only what it concerns.
-    pub fn follow(&mut self, now: Millis, change: &Change) {
+    pub fn apply_change(&mut self, now: Millis, change: &Change) {
         let asked = |page: &Page| now.since(page.asked) < UNASKED_MS;
         self.pages.retain(|_, page| asked(page));
         for (shard, page) in &mut self.pages {
-            let is_here = |l: &&Listed| l.endpoint.service == page.service && covers(shard, l);
-            let set: Vec<Listed> = change.set.iter().filter(is_here).cloned().collect();
+            let is_here = |l: &&Entry| l.endpoint.service == page.service && covers(shard, l);
+            let set: Vec<Entry> = change.set.iter().filter(is_here).cloned().collect();
             // One that has started again may be of another cell now.
             let moved = change.set.iter().filter(|l| !is_here(l));
             let moved = moved.map(|l| &l.endpoint.name).chain(&change.gone);
-            let held = |name: &&Name| page.listing.holds(name);
+            let held = |name: &&Name| page.listing.contains(name);
             let gone: Vec<Name> = moved.filter(held).cloned().collect();
             if set.is_empty() && gone.is_empty() {
                 continue;
@@ -112,7 +113,7 @@
                 set,
                 gone,
             };
-            if let Some(listing) = page.listing.changed(&change) {
+            if let Some(listing) = page.listing.with_change(&change) {
                 page.listing = listing;
                 page.change = change;
             }
@@ -120,39 +121,39 @@
     }
 }
 
-fn covers(shard: &Shard, listed: &Listed) -> bool {
+fn covers(shard: &Shard, listed: &Entry) -> bool {
     shard.covers(listed.id(), &listed.endpoint)
 }
 
 #[derive(Clone, Debug, Default)]
 struct Held {
-    roster: Roster,
+    registry: Registry,
     asked: Option<Millis>,
     heard: Option<Millis>,
     /// Questions that went without an answer.
-    turn: usize,
+    attempt: usize,
 }
 
 /// What a scheduler wants to know.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Question {
+pub struct Query {
     /// Of which shard.
     pub shard: Shard,
     /// Number of the listing that it has.
-    pub known: u64,
+    pub known_id: u64,
     /// Which control VM it asks: another one for each that has not answered.
-    pub turn: usize,
+    pub attempt: usize,
 }
 
 /// Endpoints of the shards that are scheduled here.
 #[derive(Clone, Debug, Default)]
-pub struct Cells {
+pub struct Poller {
     all: BTreeMap<Shard, Held>,
 }
 
-impl Cells {
+impl Poller {
     /// Follows which shards are scheduled here.
-    pub fn follow<I>(&mut self, shards: I)
+    pub fn set_shards<I>(&mut self, shards: I)
     where
         I: IntoIterator<Item = Shard>,
     {
@@ -165,43 +166,46 @@
     }
 
     /// Questions that are due.
-    pub fn due(&mut self, now: Millis) -> Vec<Question> {
+    pub fn due_queries(&mut self, now: Millis) -> Vec<Query> {
         let mut questions = Vec::new();
         for (shard, held) in &mut self.all {
-            if held.asked.is_some_and(|at| now.since(at) < ASK_MS) {
+            if held
+                .asked
+                .is_some_and(|at| now.since(at) < POLL_INTERVAL_MS)
+            {
                 continue;
             }
             let heard = *held.heard.get_or_insert(now);
             if now.since(heard) >= SILENCE_MS {
-                held.turn += 1;
+                held.attempt += 1;
                 held.heard = Some(now);
             }
             held.asked = Some(now);
-            questions.push(Question {
+            questions.push(Query {
                 shard: shard.clone(),
-                known: held.roster.listing().id,
-                turn: held.turn,
+                known_id: held.registry.listing().id,
+                attempt: held.attempt,
             });
         }
         questions
     }
 
     /// Takes an answer; true if it is news.
-    pub fn take(&mut self, now: Millis, shard: &Shard, answer: Answer) -> bool {
+    pub fn apply_answer(&mut self, now: Millis, shard: &Shard, answer: Answer) -> bool {
         let Some(held) = self.all.get_mut(shard) else {
             return false;
         };
         held.heard = Some(now);
         match answer {
-            Answer::Whole(listing) => held.roster.take(now, listing),
+            Answer::Whole(listing) => held.registry.apply_listing(now, listing),
             // One of another listing is asked for again.
-            Answer::Change(change) => held.roster.follow(now, &change).unwrap_or(false),
-            Answer::Kept => false,
+            Answer::Change(change) => held.registry.apply_change(now, &change).unwrap_or(false),
+            Answer::Unchanged => false,
         }
     }
 
     /// What is known of the shards' endpoints.
-    pub fn rosters(&self) -> impl Iterator<Item = &Roster> {
-        self.all.values().map(|held| &held.roster)
+    pub fn registries(&self) -> impl Iterator<Item = &Registry> {
+        self.all.values().map(|held| &held.registry)
     }
 }
--- a/components/coordination/src/agree/core.rs
+++ b/components/coordination/src/consensus/core.rs
@@ -1,12 +1,12 @@
 //! One member: its state, its inputs, and what it wants done.
 
-use super::join::Newcomers;
-use super::log::{Entry, Hard, Index, Log, Snapshot, Start, Term};
+use super::log::{Ballot, Entry, Index, Log, Recovery, Snapshot, Term};
+use super::membership::Newcomers;
 use super::message::{Envelope, Message};
-use super::{ELECTION_JITTER_MS, ELECTION_MS, HEARTBEAT_MS, LEASE_MS};
+use super::{ELECTION_JITTER_MS, ELECTION_TIMEOUT_MS, HEARTBEAT_INTERVAL_MS, LEASE_MS};
 use crate::prelude::*;
-use state::record::{Disk, Member, Members, Record};
-use state::view::Place;
+use state::record::{DiskId, Member, Members, Record};
+use state::view::Node;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Who may become a member.
@@ -14,11 +14,11 @@
 pub enum Admission {
     /// The VMs of the first members alone, with whatever disk they have.
     Seeds,
-    /// Any VM. A new disk begins a group with the seeds only if `begins` says
+    /// Any VM. A new disk begins a group with the seeds only if `may_bootstrap` says
     /// that the fleet starts for the first time.
     Open {
         /// Whether a new group may begin.
-        begins: bool,
+        may_bootstrap: bool,
         /// Voters that the group is to have.
         voters: usize,
     },
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// Another member leads, if one is known.
-    NotLeader(Option<Place>),
+    NotLeader(Option<Node>),
     /// This member leads, but cannot be sure that it still does.
     NoLease,
     /// A change of members is under way.
@@ -75,45 +75,45 @@
     /// Snapshot from a leader that replaces the log.
     pub install: Option<Snapshot>,
     /// Drop this place and all after it.
-    pub cut: Option<Index>,
+    pub truncate_from: Option<Index>,
     /// Entries to append.
     pub append: Vec<Entry>,
     /// Term and vote to write.
-    pub hard: Option<Hard>,
+    pub ballot: Option<Ballot>,
     /// Messages to send once all that is on disk.
-    pub messages: Vec<(Place, Envelope)>,
+    pub messages: Vec<(Node, Envelope)>,
     /// Accepted entries to apply.
-    pub accepted: Vec<Entry>,
+    pub committed: Vec<Entry>,
 }
 
 impl Ready {
     /// Whether there is nothing to do.
     pub fn is_empty(&self) -> bool {
-        !self.must_sync() && self.messages.is_empty() && self.accepted.is_empty()
+        !self.must_sync() && self.messages.is_empty() && self.committed.is_empty()
     }
 
     /// Whether anything must reach the disk before the messages are sent.
     pub fn must_sync(&self) -> bool {
         self.install.is_some()
-            || self.cut.is_some()
+            || self.truncate_from.is_some()
             || !self.append.is_empty()
-            || self.hard.is_some()
+            || self.ballot.is_some()
     }
 }
 
 /// One member of the agreement.
 pub struct Core {
     pub(super) me: Member,
-    pub(super) seeds: Vec<Place>,
+    pub(super) seeds: Vec<Node>,
     pub(super) admission: Admission,
-    pub(super) hard: Hard,
+    pub(super) ballot: Ballot,
     pub(super) log: Log,
     pub(super) role: Role,
-    pub(super) leader: Option<Disk>,
+    pub(super) leader: Option<DiskId>,
     pub(super) commit: Index,
     pub(super) applied: Index,
-    pub(super) votes: BTreeSet<Disk>,
-    pub(super) progress: BTreeMap<Disk, Progress>,
+    pub(super) votes: BTreeSet<DiskId>,
+    pub(super) progress: BTreeMap<DiskId, Progress>,
     pub(super) heard_leader: Option<Millis>,
     /// When this process started.
     pub(super) started: Millis,
@@ -130,7 +130,7 @@
 impl Core {
     /// A member with what its disk held. `seeds` are the places of the first
     /// members, this one among them.
-    pub fn new(me: Member, seeds: Vec<Place>, start: Start, now: Millis) -> Self {
+    pub fn new(me: Member, seeds: Vec<Node>, start: Recovery, now: Millis) -> Self {
         let snapshot_index = start.snapshot.index;
         let log = Log::new(start.snapshot, start.entries);
         let newcomer = log.members().1.voters.is_empty();
@@ -139,7 +139,7 @@
             me,
             seeds,
             admission: Admission::Seeds,
-            hard: start.hard,
+            ballot: start.ballot,
             log,
             role: if newcomer {
                 Role::Newcomer
@@ -167,12 +167,12 @@
     }
 
     /// Sets who may become a member besides the VMs of the first ones.
-    pub fn admit_by(&mut self, admission: Admission) {
+    pub fn set_admission(&mut self, admission: Admission) {
         self.admission = admission;
     }
 
     /// Changes the places where a newcomer calls.
-    pub fn set_seeds(&mut self, seeds: Vec<Place>) {
+    pub fn set_seeds(&mut self, seeds: Vec<Node>) {
         self.seeds = seeds;
     }
 
@@ -183,17 +183,17 @@
 
     /// Its term.
     pub fn term(&self) -> Term {
-        self.hard.term
+        self.ballot.term
     }
 
     /// Identity of its disk.
-    pub fn disk(&self) -> Disk {
+    pub fn disk(&self) -> DiskId {
         self.me.disk
     }
 
     /// Its term and vote.
-    pub fn hard(&self) -> Hard {
-        self.hard
+    pub fn ballot(&self) -> Ballot {
+        self.ballot
     }
 
     /// Last place that was given out to be applied.
@@ -202,10 +202,10 @@
     }
 
     /// Whether it leads with a lease, or has heard from a leader of late.
-    pub fn is_fresh(&self, now: Millis) -> bool {
+    pub fn has_leader_contact(&self, now: Millis) -> bool {
         match self.role {
             Role::Leader => self.may_serve(now),
-            _ => (self.heard_leader).is_some_and(|at| now.since(at) < 2 * ELECTION_MS),
+            _ => (self.heard_leader).is_some_and(|at| now.since(at) < 2 * ELECTION_TIMEOUT_MS),
         }
     }
 
@@ -224,11 +224,11 @@
         self.log.members().1
     }
 
-    /// Place of the leader, if one is known.
-    pub fn leader(&self) -> Option<Place> {
+    /// Node of the leader, if one is known.
+    pub fn leader(&self) -> Option<Node> {
         let leader = self.leader?;
         let found = self.members().all().find(|m| m.disk == leader);
-        found.map(|m| m.place.clone())
+        found.map(|m| m.node.clone())
     }
 
     /// Whether it leads, has applied all that was accepted before its term, and
@@ -262,7 +262,7 @@
     }
 
     /// Takes a message. `place` is where the sender is known to be.
-    pub fn step(&mut self, now: Millis, place: &Place, envelope: Envelope) {
+    pub fn step(&mut self, now: Millis, place: &Node, envelope: Envelope) {
         self.clock(now);
         let Envelope { from, to, message } = envelope;
         if to.is_some_and(|to| to != self.me.disk) || !self.is_from(place, from) {
@@ -291,9 +291,9 @@
     /// Whether a message of a disk comes from where that disk is, as far as it is
     /// known. The link certifies the VM, not the disk: without this, one VM could
     /// vote for all.
-    fn is_from(&self, place: &Place, from: Disk) -> bool {
+    fn is_from(&self, place: &Node, from: DiskId) -> bool {
         let member = self.members().all().find(|m| m.disk == from);
-        member.is_none_or(|m| m.place.vm == place.vm)
+        member.is_none_or(|m| m.node.vm == place.vm)
     }
 
     /// Lets time pass.
@@ -317,7 +317,7 @@
             let Some(entry) = self.log.get(self.applied.next()) else {
                 break;
             };
-            ready.accepted.push(entry.clone());
+            ready.committed.push(entry.clone());
             self.applied = self.applied.next();
         }
         ready
@@ -355,7 +355,7 @@
 
     pub(super) fn append(&mut self, record: Record) -> Index {
         let entry = Entry {
-            term: self.hard.term,
+            term: self.ballot.term,
             index: self.log.last().next(),
             record,
         };
@@ -371,7 +371,7 @@
         index
     }
 
-    pub(super) fn send(&mut self, place: &Place, to: Option<Disk>, message: Message) {
+    pub(super) fn send(&mut self, place: &Node, to: Option<DiskId>, message: Message) {
         let envelope = Envelope {
             from: self.me.disk,
             to,
@@ -392,14 +392,18 @@
         let jitter = self.random % ELECTION_JITTER_MS;
         let alone = self.members().voters.len() == 1;
         // Nobody else can stand, so there is nothing to wait for.
-        let wait = if alone { 0 } else { ELECTION_MS + jitter };
+        let wait = if alone {
+            0
+        } else {
+            ELECTION_TIMEOUT_MS + jitter
+        };
         self.election_at = now.after(wait);
     }
 
-    pub(super) fn become_follower(&mut self, now: Millis, term: Term, leader: Option<Disk>) {
-        if term > self.hard.term {
-            self.hard = Hard { term, vote: None };
-            self.ready.hard = Some(self.hard);
+    pub(super) fn become_follower(&mut self, now: Millis, term: Term, leader: Option<DiskId>) {
+        if term > self.ballot.term {
+            self.ballot = Ballot { term, vote: None };
+            self.ready.ballot = Some(self.ballot);
         }
         if self.role == Role::Newcomer && self.members().voters.is_empty() && leader.is_none() {
             return;
@@ -417,12 +421,12 @@
     fn tick_leader(&mut self, now: Millis) {
         // A leader that no quorum answers must not think that it leads.
         let heard = self.quorum_heard();
-        if heard.is_some_and(|at| now.since(at) > ELECTION_MS) {
-            self.become_follower(now, self.hard.term, None);
+        if heard.is_some_and(|at| now.since(at) > ELECTION_TIMEOUT_MS) {
+            self.become_follower(now, self.ballot.term, None);
             return;
         }
         if now >= self.beat_at {
-            self.beat_at = now.after(HEARTBEAT_MS);
+            self.beat_at = now.after(HEARTBEAT_INTERVAL_MS);
             self.beat(now);
             self.tend_members();
         }
--- a/components/coordination/src/agree/elect.rs
+++ b/components/coordination/src/consensus/election.rs
@@ -1,12 +1,12 @@
 //! Elections: pre-vote, vote, and the start of a term.
 
 use super::core::{Core, Progress, Role};
-use super::log::{Hard, Index, Term};
+use super::log::{Ballot, Index, Term};
 use super::message::Message;
-use super::ELECTION_MS;
+use super::ELECTION_TIMEOUT_MS;
 use crate::prelude::*;
-use state::record::{Disk, Member, Record};
-use state::view::Place;
+use state::record::{DiskId, Member, Record};
+use state::view::Node;
 
 impl Core {
     pub(super) fn tick_follower(&mut self, now: Millis) {
@@ -27,7 +27,7 @@
         self.votes.clear();
         self.votes.insert(self.me.disk);
         let message = Message::PreVote {
-            term: Term(self.hard.term.0 + 1),
+            term: Term(self.ballot.term.0 + 1),
             last: self.log.last(),
             last_term: self.log.last_term(),
         };
@@ -43,25 +43,31 @@
     pub(super) fn on_pre_vote(
         &mut self,
         now: Millis,
-        place: &Place,
-        from: Disk,
+        place: &Node,
+        from: DiskId,
         term: Term,
         last: (Term, Index),
     ) {
-        let granted = term > self.hard.term && self.may_vote() && self.fresh_enough(now, last);
+        let granted = term > self.ballot.term && self.may_vote() && self.fresh_enough(now, last);
         let reply = Message::PreVoteReply {
-            term: if granted { term } else { self.hard.term },
+            term: if granted { term } else { self.ballot.term },
             granted,
         };
         self.send(place, Some(from), reply);
     }
 
-    pub(super) fn on_pre_vote_reply(&mut self, now: Millis, from: Disk, term: Term, granted: bool) {
-        if !granted && term > self.hard.term {
+    pub(super) fn on_pre_vote_reply(
+        &mut self,
+        now: Millis,
+        from: DiskId,
+        term: Term,
+        granted: bool,
+    ) {
+        if !granted && term > self.ballot.term {
             self.become_follower(now, term, None);
             return;
         }
-        let asked = Term(self.hard.term.0 + 1);
+        let asked = Term(self.ballot.term.0 + 1);
         if self.role == Role::PreCandidate && granted && term == asked {
             self.count_vote(from);
             self.stand_if_backed(now);
@@ -71,32 +77,32 @@
     pub(super) fn on_vote(
         &mut self,
         now: Millis,
-        place: &Place,
-        from: Disk,
+        place: &Node,
+        from: DiskId,
         term: Term,
         last: (Term, Index),
     ) {
         let open = self.may_vote() && self.fresh_enough(now, last);
-        if term > self.hard.term && open {
+        if term > self.ballot.term && open {
             self.become_follower(now, term, None);
         }
-        let free = self.hard.vote.is_none() || self.hard.vote == Some(from);
-        let granted = open && term == self.hard.term && free && self.role == Role::Follower;
+        let free = self.ballot.vote.is_none() || self.ballot.vote == Some(from);
+        let granted = open && term == self.ballot.term && free && self.role == Role::Follower;
         if granted {
-            self.hard.vote = Some(from);
-            self.ready.hard = Some(self.hard);
+            self.ballot.vote = Some(from);
+            self.ready.ballot = Some(self.ballot);
             self.reset_election(now);
         }
-        let term = self.hard.term;
+        let term = self.ballot.term;
         self.send(place, Some(from), Message::VoteReply { term, granted });
     }
 
-    pub(super) fn on_vote_reply(&mut self, now: Millis, from: Disk, term: Term, granted: bool) {
-        if term > self.hard.term {
+    pub(super) fn on_vote_reply(&mut self, now: Millis, from: DiskId, term: Term, granted: bool) {
+        if term > self.ballot.term {
             self.become_follower(now, term, None);
             return;
         }
-        if self.role == Role::Candidate && granted && term == self.hard.term {
+        if self.role == Role::Candidate && granted && term == self.ballot.term {
             self.count_vote(from);
             self.lead_if_elected(now);
         }
@@ -107,7 +113,7 @@
         // A process that has just started may have renewed a leader's lease right
         // before it ended.
         let heard = self.heard_leader.unwrap_or(self.started);
-        let quiet = now.since(heard) >= ELECTION_MS;
+        let quiet = now.since(heard) >= ELECTION_TIMEOUT_MS;
         let leads = self.role == Role::Leader;
         quiet && !leads && last >= (self.log.last_term(), self.log.last())
     }
@@ -121,7 +127,7 @@
         !self.members().voters.is_empty()
     }
 
-    fn count_vote(&mut self, from: Disk) {
+    fn count_vote(&mut self, from: DiskId) {
         if self.members().votes(from) {
             self.votes.insert(from);
         }
@@ -136,15 +142,15 @@
             return;
         }
         self.role = Role::Candidate;
-        self.hard = Hard {
-            term: Term(self.hard.term.0 + 1),
+        self.ballot = Ballot {
+            term: Term(self.ballot.term.0 + 1),
             vote: Some(self.me.disk),
         };
-        self.ready.hard = Some(self.hard);
+        self.ready.ballot = Some(self.ballot);
         self.votes.clear();
         self.votes.insert(self.me.disk);
         let message = Message::Vote {
-            term: self.hard.term,
+            term: self.ballot.term,
             last: self.log.last(),
             last_term: self.log.last_term(),
         };
@@ -167,7 +173,7 @@
             // so for real answers of a quorum.
             progress.heard = now;
         }
-        let began = self.append(Record::Blank);
+        let began = self.append(Record::NoOp);
         self.began = Some(began);
     }
 
@@ -198,7 +204,7 @@
         let me = self.me.disk;
         let voters: SmallVec<[Member; 5]> = self.members().voters.clone();
         for voter in voters.iter().filter(|m| m.disk != me) {
-            self.send(&voter.place, Some(voter.disk), message.clone());
+            self.send(&voter.node, Some(voter.disk), message.clone());
         }
     }
 }
--- a/components/coordination/src/agree/log.rs
+++ b/components/coordination/src/consensus/log.rs
@@ -1,8 +1,8 @@
 //! The log in memory, as the disk has it.
 
-use super::BATCH;
+use super::BATCH_ENTRIES_MAX;
 use serde::{Deserialize, Serialize};
-use state::record::{Disk, Members, Record};
+use state::record::{DiskId, Members, Record};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -42,11 +42,11 @@
 /// What must be on disk before any message that follows from it is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Hard {
+pub struct Ballot {
     /// Latest term seen.
     pub term: Term,
     /// Vote given in that term.
-    pub vote: Option<Disk>,
+    pub vote: Option<DiskId>,
 }
 
 /// The state up to a place in the log.
@@ -64,9 +64,9 @@
 
 /// What the disk held at the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Start {
+pub struct Recovery {
     /// Term and vote.
-    pub hard: Hard,
+    pub ballot: Ballot,
     /// Latest snapshot.
     pub snapshot: Snapshot,
     /// Entries after the snapshot.
@@ -119,7 +119,7 @@
     }
 
     /// Entries from a place on, at most `max`.
-    pub fn from(&self, index: Index, max: usize) -> Vec<Entry> {
+    pub fn entries_from(&self, index: Index, max: usize) -> Vec<Entry> {
         self.rest(index).take(max).cloned().collect()
     }
 
@@ -140,7 +140,7 @@
             large += usize::from(entry.record.is_large());
             large <= 1
         };
-        let entries = self.rest(index).take(BATCH).take_while(fits);
+        let entries = self.rest(index).take(BATCH_ENTRIES_MAX).take_while(fits);
         entries.cloned().collect()
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// Drops the entry at a place and all after it.
-    pub fn cut(&mut self, index: Index) {
+    pub fn truncate_from(&mut self, index: Index) {
         let keep = index.0.saturating_sub(self.snapshot.index.0 + 1);
         self.entries
             .truncate(usize::try_from(keep).unwrap_or(usize::MAX));
--- a/components/coordination/src/agree/join.rs
+++ b/components/coordination/src/consensus/membership.rs
@@ -3,10 +3,10 @@
 use super::core::{Core, Role};
 use super::log::Index;
 use super::message::{Join, Message};
-use super::{Admission, ELECTION_MS, FORGOTTEN_MS, GONE_MS, JOIN_MS};
+use super::{Admission, ELECTION_TIMEOUT_MS, JOIN_INTERVAL_MS, REJOIN_MS, VOTER_LOST_MS};
 use crate::prelude::*;
-use state::record::{Disk, Member, Members, Record};
-use state::view::Place;
+use state::record::{DiskId, Member, Members, Record};
+use state::view::Node;
 use std::collections::BTreeMap;
 
 /// How long a newcomer's call counts, in milliseconds.
@@ -27,10 +27,10 @@
         if now < self.newcomers.call_at {
             return;
         }
-        self.newcomers.call_at = now.after(JOIN_MS);
+        self.newcomers.call_at = now.after(JOIN_INTERVAL_MS);
         let heard = self.heard(now);
         for seed in self.seeds.clone() {
-            if seed.vm != self.me.place.vm {
+            if seed.vm != self.me.node.vm {
                 self.call(&seed, heard.clone(), false);
             }
         }
@@ -44,18 +44,18 @@
     /// see it wait for ever, and the group one voter short. A leader that counts
     /// it ignores the call, any other admits it.
     pub(super) fn ask_if_forgotten(&mut self, now: Millis) {
-        let quiet = (self.heard_leader).is_none_or(|at| now.since(at) >= FORGOTTEN_MS);
+        let quiet = (self.heard_leader).is_none_or(|at| now.since(at) >= REJOIN_MS);
         if !quiet || now < self.newcomers.call_at {
             return;
         }
-        self.newcomers.call_at = now.after(JOIN_MS);
-        let mut places: SmallVec<[Place; 8]> = self.seeds.iter().cloned().collect();
-        places.extend(self.members().all().map(|m| m.place.clone()));
+        self.newcomers.call_at = now.after(JOIN_INTERVAL_MS);
+        let mut places: SmallVec<[Node; 8]> = self.seeds.iter().cloned().collect();
+        places.extend(self.members().all().map(|m| m.node.clone()));
         places.sort();
         places.dedup();
         let heard: SmallVec<[Member; 5]> = SmallVec::from_iter([self.me.clone()]);
         for place in places {
-            if place.vm != self.me.place.vm {
+            if place.vm != self.me.node.vm {
                 self.call(&place, heard.clone(), false);
             }
         }
@@ -68,32 +68,32 @@
             .map(|(_, member, _)| member.clone())
             .collect();
         heard.push(self.me.clone());
-        heard.sort_by(|a, b| a.place.vm.cmp(&b.place.vm));
+        heard.sort_by(|a, b| a.node.vm.cmp(&b.node.vm));
         heard
     }
 
-    pub(super) fn on_join(&mut self, now: Millis, place: &Place, join: Join) {
+    pub(super) fn on_join(&mut self, now: Millis, place: &Node, join: Join) {
         let Join {
             member,
             heard,
             began,
         } = join;
         let allowed = match self.admission {
-            Admission::Seeds => self.seeds.contains(&member.place),
+            Admission::Seeds => self.seeds.contains(&member.node),
             Admission::Open { .. } => true,
         };
         // A member passes a newcomer's call on; anyone else speaks for itself.
-        let passed_on = self.members().all().any(|m| m.place.vm == place.vm);
-        if !allowed || (member.place != *place && !passed_on) {
+        let passed_on = self.members().all().any(|m| m.node.vm == place.vm);
+        if !allowed || (member.node != *place && !passed_on) {
             return;
         }
         match self.role {
-            Role::Newcomer if !self.seeds.contains(&member.place) => {}
+            Role::Newcomer if !self.seeds.contains(&member.node) => {}
             Role::Newcomer if began && heard.iter().any(|m| m.disk == self.me.disk) => {
                 self.begin(now, heard);
             }
             Role::Newcomer => {
-                let vm = member.place.vm.clone();
+                let vm = member.node.vm.clone();
                 self.newcomers.calls.insert(vm, (now, member, heard));
                 self.begin_if_all_new(now);
             }
@@ -103,9 +103,9 @@
             _ if began => {}
             _ if self.began_with(member.disk) => {
                 let began = self.log.members_at(Index(0)).voters.clone();
-                self.call(&member.place, began, true);
+                self.call(&member.node, began, true);
             }
-            _ if member.place == *place => self.pass_on(Join {
+            _ if member.node == *place => self.pass_on(Join {
                 member,
                 heard,
                 began,
@@ -115,14 +115,14 @@
     }
 
     /// Whether the group began with a disk, as far as this member still knows.
-    fn began_with(&self, disk: Disk) -> bool {
+    fn began_with(&self, disk: DiskId) -> bool {
         let knows = self.log.snapshot().index == Index(0);
         knows && self.log.members_at(Index(0)).votes(disk)
     }
 
     /// Passes a call on to the leader: a newcomer knows only some of the members.
     fn pass_on(&mut self, join: Join) {
-        let leader = self.leader().filter(|l| l.vm != self.me.place.vm);
+        let leader = self.leader().filter(|l| l.vm != self.me.node.vm);
         if let Some(leader) = leader {
             self.send(&leader, None, Message::Join(Box::new(join)));
         }
@@ -140,7 +140,9 @@
             Admission::Seeds => true,
             // A disk that was lost is new as well; only the settings tell it from
             // one of a fleet that has never run.
-            Admission::Open { begins, .. } => begins && self.seeds.contains(&self.me.place),
+            Admission::Open { may_bootstrap, .. } => {
+                may_bootstrap && self.seeds.contains(&self.me.node)
+            }
         };
         let new = begins && self.members().voters.is_empty();
         if !new || heard.len() != self.seeds.len() {
@@ -154,7 +156,7 @@
         // The others must hear that this one has heard them all. Should that be
         // lost, their next call is answered with it.
         for seed in self.seeds.clone() {
-            if seed.vm != self.me.place.vm {
+            if seed.vm != self.me.node.vm {
                 let began = self.members().voters.clone();
                 self.call(&seed, began, true);
             }
@@ -180,7 +182,7 @@
     }
 
     /// Calls another member, with whom this one has heard or began.
-    fn call(&mut self, place: &Place, heard: SmallVec<[Member; 5]>, began: bool) {
+    fn call(&mut self, place: &Node, heard: SmallVec<[Member; 5]>, began: bool) {
         let member = self.me.clone();
         let join = Join {
             member,
@@ -203,7 +205,7 @@
         }
         let mut members = members;
         // A learner that lost its disk again is not coming back.
-        members.learners.retain(|m| m.place.vm != member.place.vm);
+        members.learners.retain(|m| m.node.vm != member.node.vm);
         members.learners.push(member);
         self.append(Record::Members(Box::new(members)));
     }
@@ -252,7 +254,7 @@
     /// A VM that is gone for good leaves its place among the voters behind. Once
     /// its successor votes, four voters need three: the next loss would stop the
     /// group, which is what the successor was to prevent.
-    fn gone(&self, members: &Members) -> Option<Disk> {
+    fn gone(&self, members: &Members) -> Option<DiskId> {
         let Admission::Open { voters, .. } = self.admission else {
             return None;
         };
@@ -264,19 +266,20 @@
             progress.map_or(self.now(), |p| p.heard.max(p.since))
         };
         let others = members.voters.iter().filter(|m| m.disk != self.me.disk);
-        let silent = others.filter(|m| self.now().since(heard(m)) >= GONE_MS);
+        let silent = others.filter(|m| self.now().since(heard(m)) >= VOTER_LOST_MS);
         silent.min_by_key(|m| heard(m)).map(|m| m.disk)
     }
 
     /// A learner whose VM answers with another disk: its call came late, from a
     /// disk that is gone.
-    fn ghost(&self, members: &Members) -> Option<Disk> {
-        let lives = |disk: Disk| {
+    fn ghost(&self, members: &Members) -> Option<DiskId> {
+        let lives = |disk: DiskId| {
             let heard = self.progress.get(&disk).map(|p| p.heard);
-            disk == self.me.disk || heard.is_some_and(|at| self.now().since(at) < ELECTION_MS)
+            disk == self.me.disk
+                || heard.is_some_and(|at| self.now().since(at) < ELECTION_TIMEOUT_MS)
         };
         let other = |learner: &Member| {
-            let same = |m: &&Member| m.place.vm == learner.place.vm && m.disk != learner.disk;
+            let same = |m: &&Member| m.node.vm == learner.node.vm && m.disk != learner.disk;
             members.voters.iter().filter(same).any(|m| lives(m.disk))
         };
         members
@@ -288,11 +291,11 @@
 }
 
 /// The older of two voters on the same VM.
-fn replaced(members: &Members) -> Option<Disk> {
-    let same = |a: &Place, b: &Place| a.vm == b.vm;
+fn replaced(members: &Members) -> Option<DiskId> {
+    let same = |a: &Node, b: &Node| a.vm == b.vm;
     members.voters.iter().enumerate().find_map(|(i, old)| {
         let later = &members.voters[i + 1..];
-        let double = later.iter().any(|new| same(&new.place, &old.place));
+        let double = later.iter().any(|new| same(&new.node, &old.node));
         double.then_some(old.disk)
     })
 }
--- a/components/coordination/src/agree/message.rs
+++ b/components/coordination/src/consensus/message.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 use state::clock::Millis;
-use state::record::{Disk, Member, Members};
+use state::record::{DiskId, Member, Members};
 
 /// A newcomer's call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -128,9 +128,9 @@
 #[serde(rename_all = "kebab-case")]
 pub struct Envelope {
     /// Sender's disk.
-    pub from: Disk,
+    pub from: DiskId,
     /// Receiver's disk; `None` when the sender does not know it.
-    pub to: Option<Disk>,
+    pub to: Option<DiskId>,
     /// The message.
     pub message: Message,
 }
--- a/components/coordination/src/agree/replicate.rs
+++ b/components/coordination/src/consensus/replication.rs
@@ -3,10 +3,10 @@
 use super::core::{Core, Role};
 use super::log::{Entry, Index, Snapshot, Term};
 use super::message::{Install, Message};
-use super::{ELECTION_MS, PIECE};
+use super::{CHUNK_BYTES_MAX, ELECTION_TIMEOUT_MS};
 use crate::prelude::*;
-use state::record::{Disk, Member};
-use state::view::Place;
+use state::record::{DiskId, Member};
+use state::view::Node;
 use std::sync::Arc;
 
 impl Core {
@@ -15,8 +15,8 @@
     pub(super) fn step_replication(
         &mut self,
         now: Millis,
-        place: &Place,
-        from: Disk,
+        place: &Node,
+        from: DiskId,
         message: Message,
     ) {
         match message {
@@ -30,7 +30,7 @@
             } => {
                 let matched = self.on_append(now, from, term, (prev, prev_term), entries, commit);
                 let reply = Message::AppendReply {
-                    term: self.hard.term,
+                    term: self.ballot.term,
                     matched: matched.unwrap_or_else(|refused| refused),
                     refused: matched.is_err(),
                     sent,
@@ -44,7 +44,7 @@
             } => {
                 let index = install.index;
                 let offset = self.on_install(now, from, term, *install);
-                let term = self.hard.term;
+                let term = self.ballot.term;
                 let reply = Message::InstallReply {
                     term,
                     index,
@@ -74,8 +74,8 @@
     }
 
     /// Follows a leader's message; false if its term is over.
-    fn obey(&mut self, now: Millis, from: Disk, term: Term) -> bool {
-        if term < self.hard.term {
+    fn obey(&mut self, now: Millis, from: DiskId, term: Term) -> bool {
+        if term < self.ballot.term {
             return false;
         }
         self.become_follower(now, term, Some(from));
@@ -89,7 +89,7 @@
     fn on_append(
         &mut self,
         now: Millis,
-        from: Disk,
+        from: DiskId,
         term: Term,
         (prev, prev_term): (Index, Term),
         entries: Vec<Entry>,
@@ -127,14 +127,14 @@
     }
 
     fn cut(&mut self, index: Index) {
-        self.log.cut(index);
+        self.log.truncate_from(index);
         self.ready.append.retain(|e| e.index < index);
-        let earlier = self.ready.cut.unwrap_or(index);
-        self.ready.cut = Some(earlier.min(index));
+        let earlier = self.ready.truncate_from.unwrap_or(index);
+        self.ready.truncate_from = Some(earlier.min(index));
     }
 
     /// Takes a piece of a snapshot; gives the bytes that it has by now.
-    fn on_install(&mut self, now: Millis, from: Disk, term: Term, install: Install) -> u64 {
+    fn on_install(&mut self, now: Millis, from: DiskId, term: Term, install: Install) -> u64 {
         if !self.obey(now, from, term) {
             return 0;
         }
@@ -176,18 +176,18 @@
         self.commit = snapshot.index;
         self.applied = snapshot.index;
         self.ready.append.clear();
-        self.ready.cut = None;
+        self.ready.truncate_from = None;
         self.ready.install = Some(snapshot);
         have
     }
 
     /// Whether a reply counts: it is of this term, from a member.
-    fn hears(&mut self, now: Millis, from: Disk, term: Term, sent: Millis) -> bool {
-        if term > self.hard.term {
+    fn hears(&mut self, now: Millis, from: DiskId, term: Term, sent: Millis) -> bool {
+        if term > self.ballot.term {
             self.become_follower(now, term, None);
             return false;
         }
-        if self.role != Role::Leader || term < self.hard.term {
+        if self.role != Role::Leader || term < self.ballot.term {
             return false;
         }
         let Some(progress) = self.progress.get_mut(&from) else {
@@ -198,7 +198,7 @@
         true
     }
 
-    fn on_append_reply(&mut self, from: Disk, matched: Index, refused: bool) {
+    fn on_append_reply(&mut self, from: DiskId, matched: Index, refused: bool) {
         let last = self.log.last();
         let Some(progress) = self.progress.get_mut(&from) else {
             return;
@@ -219,7 +219,7 @@
         self.advance_commit();
     }
 
-    fn on_install_reply(&mut self, from: Disk, index: Index, offset: u64) {
+    fn on_install_reply(&mut self, from: DiskId, index: Index, offset: u64) {
         let snapshot = self.log.snapshot();
         let total = snapshot.bytes.len() as u64;
         let current = snapshot.index == index;
@@ -255,7 +255,7 @@
         let Some(agreed) = matched.get(quorum).copied() else {
             return;
         };
-        if agreed > self.commit && self.log.term(agreed) == Some(self.hard.term) {
+        if agreed > self.commit && self.log.term(agreed) == Some(self.ballot.term) {
             self.commit = agreed;
         }
     }
@@ -290,7 +290,7 @@
         let Some(progress) = self.progress.get_mut(&member.disk) else {
             return;
         };
-        let lost = now.since(progress.sent) > ELECTION_MS / 2;
+        let lost = now.since(progress.sent) > ELECTION_TIMEOUT_MS / 2;
         let idle = !progress.waiting || lost;
         let lacks = progress.next <= last;
         if !(beat || lacks && idle) {
@@ -304,7 +304,7 @@
                 _ => 0,
             };
             let message = self.piece(offset, now);
-            self.send(&member.place, Some(member.disk), message);
+            self.send(&member.node, Some(member.disk), message);
             return;
         }
         let next = progress.next.max(start.next());
@@ -319,23 +319,23 @@
             progress.sent = now;
         }
         let message = Message::Append {
-            term: self.hard.term,
+            term: self.ballot.term,
             prev,
             prev_term: self.log.term(prev).unwrap_or_default(),
             entries,
             commit: self.commit,
             sent: now,
         };
-        self.send(&member.place, Some(member.disk), message);
+        self.send(&member.node, Some(member.disk), message);
     }
 
     fn piece(&self, offset: u64, now: Millis) -> Message {
         let snapshot = self.log.snapshot();
         let from = usize::try_from(offset).unwrap_or(usize::MAX);
         let from = from.min(snapshot.bytes.len());
-        let to = (from + PIECE).min(snapshot.bytes.len());
+        let to = (from + CHUNK_BYTES_MAX).min(snapshot.bytes.len());
         Message::Install {
-            term: self.hard.term,
+            term: self.ballot.term,
             install: Box::new(Install {
                 index: snapshot.index,
                 term: snapshot.term,
--- a/components/coordination/src/dispatcher/mod.rs
+++ b/components/coordination/src/dispatcher/mod.rs
@@ -442,7 +442,7 @@
         let mut effects = Effects::new();
         self.spread.follow(view);
         let endpoints = view.config.endpoints.iter();
-        let away = endpoints.filter(|(id, endpoint)| !view.takes_work(**id, endpoint));
+        let away = endpoints.filter(|(id, endpoint)| !view.accepts_work(**id, endpoint));
         self.away = away.map(|(id, _)| *id).collect();
         let shards: Vec<Shard> = self.sessions.keys().cloned().collect();
         for shard in shards {
@@ -562,5 +562,5 @@
     let service = view.config.services.get(&shard.service).map(|s| &s.name);
     (view.config.endpoints.iter())
         .filter(move |(id, e)| Some(&e.service) == service && shard.covers(**id, e))
-        .map(|(id, e)| (*id, e.slots, e.lead, !view.takes_work(*id, e)))
+        .map(|(id, e)| (*id, e.slots, e.prefetch, !view.accepts_work(*id, e)))
 }
--- a/components/coordination/src/dispatcher/session.rs
+++ b/components/coordination/src/dispatcher/session.rs
@@ -202,7 +202,7 @@
             .filter(|(_, s)| {
                 s.assignment
                     .as_ref()
-                    .is_some_and(|assignment| assignment.place.vm == *vm)
+                    .is_some_and(|assignment| assignment.node.vm == *vm)
             })
             .map(|(shard, _)| shard.clone())
             .collect()
@@ -220,7 +220,7 @@
         };
         if session.hello_at.is_some_and(|at| at <= now) {
             session.hello_at = None;
-            if (session.assignment.as_ref()).is_some_and(|s| self.links.contains(&s.place.vm)) {
+            if (session.assignment.as_ref()).is_some_and(|s| self.links.contains(&s.node.vm)) {
                 self.down(now, shard);
                 self.hello(now, shard, effects);
                 return;
--- a/components/coordination/src/dispatcher/spread.rs
+++ b/components/coordination/src/dispatcher/spread.rs
@@ -160,7 +160,7 @@
         let copying =
             services.filter(|(_, s)| s.engine.is_some_and(|e| e.copy_tokens_per_s.is_some()));
         self.copying = copying.map(|(id, _)| *id).collect();
-        let counts = view.counts();
+        let counts = view.endpoint_counts();
         for shard in &self.shards {
             let open = open(view, &counts, shard);
             if open == 0 {
@@ -323,7 +323,7 @@
             && shard.data_centre.as_ref().is_none_or(is_here)
             && !view.is_evacuated(&count.data_centre)
     };
-    let open: u32 = counts.iter().filter(is_covered).map(|c| c.open).sum();
+    let open: u32 = counts.iter().filter(is_covered).map(|c| c.available).sum();
     let cells = shard.cell.map_or(1, |cell| u32::from(cell.of));
     open.div_ceil(cells.max(1))
 }
--- a/components/coordination/src/lib.rs
+++ b/components/coordination/src/lib.rs
@@ -3,13 +3,13 @@
 //! Nothing here opens a socket, starts a thread, reads a clock or draws a
 //! random number, so that every decision can be driven by a test.
 
-pub mod agree;
 pub mod ask;
 pub mod assignment;
 pub mod backoff;
 pub mod budget;
 pub mod candidacy;
 pub mod cell;
+pub mod consensus;
 pub mod dispatcher;
 pub mod engine;
 pub mod health;
--- a/components/coordination/src/listing.rs
+++ b/components/coordination/src/listing.rs
@@ -7,18 +7,18 @@
 
 use crate::cell::Answer;
 use crate::prelude::*;
-use state::listing::{count, Census, Change, Listed, Listing};
+use state::listing::{count_endpoints, Census, Change, Entry, Listing};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 /// Readings in a row that an endpoint must be missing from before it is gone.
 ///
 /// A page that changes while it is read may lack an endpoint that lives.
-pub const MISSING: u32 = 2;
+pub const MISSING_READINGS_MAX: u32 = 2;
 /// Readings that routers leave to the control VMs before they read themselves.
 const ROUTER_TURNS: u64 = 4;
 /// Entries up to which a list is sent to all processes.
-pub const WHOLE_MAX: usize = 512;
+pub const BROADCAST_ENTRIES_MAX: usize = 512;
 /// Entries below which it is sent to all again.
 const WHOLE_AGAIN: usize = 384;
 /// Time for which an endpoint that leaves is remembered once the list lacks it, in
@@ -46,7 +46,7 @@
 ///
 /// Within one time between readings, 291 routers in turn had a moment of 2 ms each: while
 /// the leader was frozen, the list was asked for 25 times a second.
-pub fn router_patience_ms(every_ms: u64, routers: u32, incarnation: u64) -> u64 {
+pub fn router_read_delay_ms(every_ms: u64, routers: u32, incarnation: u64) -> u64 {
     let spread_ms = every_ms.max(u64::from(routers) * TURN_MS).max(1);
     every_ms * ROUTER_TURNS + incarnation % spread_ms
 }
@@ -59,7 +59,7 @@
     /// Another control VM, and whether it follows a living leader.
     Control {
         /// Whether it does.
-        is_led: bool,
+        follows_leader: bool,
     },
     /// A router among so many, once that is known.
     Router(Option<u32>),
@@ -71,7 +71,7 @@
 
 /// What one process knows of the list.
 #[derive(Clone, Debug, Default)]
-pub struct Roster {
+pub struct Registry {
     listing: Arc<Listing>,
     /// What the last change was.
     change: Change,
@@ -86,7 +86,7 @@
     missing: BTreeMap<EndpointId, u32>,
 }
 
-impl Roster {
+impl Registry {
     /// Whether this process is to read the list now. `patience` is the time that
     /// it waits for someone else's reading, in milliseconds.
     pub fn is_due(&self, now: Millis, patience: u64) -> bool {
@@ -95,7 +95,7 @@
 
     /// Time that a process leaves the reading of the list to others, in milliseconds, where
     /// it is read each `every_ms`; `None` for one that never reads.
-    pub fn patience_ms(&self, reader: Reader, every_ms: u64, lot: u64) -> Option<u64> {
+    pub fn read_delay_ms(&self, reader: Reader, every_ms: u64, lot: u64) -> Option<u64> {
         // CAST: entries are far below 2^64.
         let entries = self.listing.endpoints.len() as u64;
         let reading_ms = (entries / ENTRIES_A_MS).min(READING_MAX_MS);
@@ -103,11 +103,15 @@
         let turn_ms = lot % every_ms.max(1);
         match reader {
             Reader::Leader => Some(every_ms),
-            Reader::Control { is_led: true } => Some(every_ms * LED_TURNS + turn_ms),
-            Reader::Control { is_led: false } => Some(every_ms * UNLED_TURNS + turn_ms),
+            Reader::Control {
+                follows_leader: true,
+            } => Some(every_ms * LED_TURNS + turn_ms),
+            Reader::Control {
+                follows_leader: false,
+            } => Some(every_ms * UNLED_TURNS + turn_ms),
             // Of a list that is not whole here it would be one more reader of all pages.
             Reader::Router(Some(routers)) if !self.listing.endpoints.is_empty() => {
-                Some(router_patience_ms(every_ms, routers, lot))
+                Some(router_read_delay_ms(every_ms, routers, lot))
             }
             Reader::Router(_) => None,
         }
@@ -129,17 +133,17 @@
     }
 
     /// Takes counts in place of a list; true if they are news.
-    pub fn take_census(&mut self, now: Millis, census: Census) -> bool {
+    pub fn apply_census(&mut self, now: Millis, census: Census) -> bool {
         let is_news = self.census.as_ref() != Some(&census);
-        *self = Roster {
+        *self = Registry {
             census: Some(census),
             heard: Some(now),
-            ..Roster::default()
+            ..Registry::default()
         };
         is_news
     }
 
-    /// The newest listing. How long endpoints stay cold is in [`Roster::warm_at`].
+    /// The newest listing. How long endpoints stay cold is in [`Registry::warm_at`].
     pub fn listing(&self) -> &Arc<Listing> {
         &self.listing
     }
@@ -150,31 +154,31 @@
     }
 
     /// The newest listing as another process is told it now.
-    pub fn told(&self, now: Millis) -> Listing {
+    pub fn export(&self, now: Millis) -> Listing {
         let mut listing = (*self.listing).clone();
         self.tell_cold(now, &mut listing.endpoints);
         listing
     }
 
     /// What the last change was, as another process is told it now.
-    pub fn told_change(&self, now: Millis) -> Change {
+    pub fn export_change(&self, now: Millis) -> Change {
         let mut change = self.change.clone();
         self.tell_cold(now, &mut change.set);
         change
     }
 
     /// An answer to a scheduler as it is told now.
-    pub fn told_answer(&self, now: Millis, mut answer: Answer) -> Answer {
+    pub fn export_answer(&self, now: Millis, mut answer: Answer) -> Answer {
         match &mut answer {
             Answer::Whole(listing) => self.tell_cold(now, &mut listing.endpoints),
             Answer::Change(change) => self.tell_cold(now, &mut change.set),
-            Answer::Kept => {}
+            Answer::Unchanged => {}
         }
         answer
     }
 
     /// Adds to entries how long their endpoints stay cold from now on.
-    fn tell_cold(&self, now: Millis, endpoints: &mut [Listed]) {
+    fn tell_cold(&self, now: Millis, endpoints: &mut [Entry]) {
         for listed in endpoints {
             let warm_at = self.warm_at.get(&listed.id());
             let cold_ms = warm_at.map_or(0, |at| at.since(now));
@@ -184,12 +188,12 @@
 
     /// Puts a listing in force, whose `cold` endpoints have turned cold.
     fn renew(&mut self, listing: Listing, cold: &BTreeSet<EndpointId>) {
-        let mut change = listing.change_from(&self.listing);
+        let mut change = listing.diff_from(&self.listing);
         if !cold.is_empty() {
-            let told: BTreeSet<EndpointId> = change.set.iter().map(Listed::id).collect();
+            let told: BTreeSet<EndpointId> = change.set.iter().map(Entry::id).collect();
             let turned = listing.endpoints.iter();
             let turned = turned.filter(|l| cold.contains(&l.id()) && !told.contains(&l.id()));
-            let turned: Vec<Listed> = turned.cloned().collect();
+            let turned: Vec<Entry> = turned.cloned().collect();
             change.set.extend(turned);
         }
         self.change = change;
@@ -201,14 +205,14 @@
     fn count(&mut self, listing: &Listing) {
         let least = match self.census {
             Some(_) => WHOLE_AGAIN,
-            None => WHOLE_MAX + 1,
+            None => BROADCAST_ENTRIES_MAX + 1,
         };
         if listing.endpoints.len() < least {
             self.census = None;
             return;
         }
         let all = listing.endpoints.iter();
-        let counts = count(all.map(|l| (&l.endpoint, l.leaving)));
+        let counts = count_endpoints(all.map(|l| (&l.endpoint, l.leaving)));
         if self.census.as_ref().is_none_or(|c| c.counts != counts) {
             let id = listing.id;
             self.census = Some(Census { id, counts });
@@ -217,23 +221,28 @@
 
     /// Takes what a reading had before it failed: what it lacks says nothing; true if
     /// anything changed.
-    pub fn read_part(&mut self, now: Millis, mut endpoints: Vec<Listed>, draw: u64) -> bool {
+    pub fn apply_partial_reading(
+        &mut self,
+        now: Millis,
+        mut endpoints: Vec<Entry>,
+        draw: u64,
+    ) -> bool {
         let missing = std::mem::take(&mut self.missing);
         endpoints.extend(self.listing.endpoints.iter().cloned());
-        let is_news = self.read(now, endpoints, draw);
+        let is_news = self.apply_reading(now, endpoints, draw);
         self.missing = missing;
         is_news
     }
 
     /// Takes what this process has read; true if anything changed. `draw` is the
     /// number of the listing if it did.
-    pub fn read(&mut self, now: Millis, mut endpoints: Vec<Listed>, draw: u64) -> bool {
+    pub fn apply_reading(&mut self, now: Millis, mut endpoints: Vec<Entry>, draw: u64) -> bool {
         self.heard = Some(now);
         let cold = self.note_cold(now, &mut endpoints);
         let present: BTreeSet<Name> = (endpoints.iter())
             .map(|l| l.endpoint.name.clone())
             .collect();
-        let read: BTreeSet<EndpointId> = endpoints.iter().map(Listed::id).collect();
+        let read: BTreeSet<EndpointId> = endpoints.iter().map(Entry::id).collect();
         self.missing.retain(|id, _| !read.contains(id));
         for old in &self.listing.endpoints {
             if present.contains(&old.endpoint.name) {
@@ -246,7 +255,7 @@
             }
             let missing = self.missing.entry(old.id()).or_default();
             *missing += 1;
-            if *missing < MISSING {
+            if *missing < MISSING_READINGS_MAX {
                 endpoints.push(old.clone());
             } else {
                 self.missing.remove(&old.id());
@@ -255,7 +264,7 @@
         // Stable: of one start, what was read now comes first and stays.
         endpoints.sort_by(|a, b| {
             let name = a.endpoint.name.cmp(&b.endpoint.name);
-            name.then(b.born.cmp(&a.born))
+            name.then(b.started_ms.cmp(&a.started_ms))
         });
         endpoints.dedup_by(|next, first| next.endpoint.name == first.endpoint.name);
         self.mark(&mut endpoints);
@@ -271,12 +280,12 @@
     }
 
     /// Takes what another process has read; true if anything changed.
-    pub fn take(&mut self, now: Millis, mut listing: Listing) -> bool {
+    pub fn apply_listing(&mut self, now: Millis, mut listing: Listing) -> bool {
         self.heard = Some(now);
         let cold = self.note_cold(now, &mut listing.endpoints);
         self.mark(&mut listing.endpoints);
         let changed = !cold.is_empty() || listing != *self.listing;
-        if listing.endpoints.len() <= WHOLE_MAX {
+        if listing.endpoints.len() <= BROADCAST_ENTRIES_MAX {
             self.census = None;
         }
         if changed {
@@ -287,13 +296,13 @@
 
     /// Takes a change that another process tells; true if it is news, `None` if it is one of
     /// another listing, which has to be asked for.
-    pub fn follow(&mut self, now: Millis, change: &Change) -> Option<bool> {
+    pub fn apply_change(&mut self, now: Millis, change: &Change) -> Option<bool> {
         if change.id == self.listing.id {
             self.heard = Some(now);
             return Some(false);
         }
-        let listing = self.listing.changed(change)?;
-        Some(self.take(now, listing))
+        let listing = self.listing.with_change(change)?;
+        Some(self.apply_listing(now, listing))
     }
 
     /// Hears that a listing still holds; false if this process has another one.
@@ -311,7 +320,7 @@
     ///
     /// The times run down, and readings of them lag: entries that held them would change
     /// with each reading, and the whole list would go to all processes each time.
-    fn note_cold(&mut self, now: Millis, endpoints: &mut [Listed]) -> BTreeSet<EndpointId> {
+    fn note_cold(&mut self, now: Millis, endpoints: &mut [Entry]) -> BTreeSet<EndpointId> {
         self.warm_at.retain(|_, at| *at > now);
         let mut news = BTreeSet::new();
         for listed in endpoints {
@@ -329,7 +338,7 @@
         news
     }
 
-    fn mark(&mut self, endpoints: &mut [Listed]) {
+    fn mark(&mut self, endpoints: &mut [Entry]) {
         let now = self.heard.unwrap_or_default();
         for listed in endpoints {
             let id = listed.id();
--- a/components/coordination/src/tree.rs
+++ b/components/coordination/src/tree.rs
@@ -6,16 +6,16 @@
 
 use crate::prelude::*;
 use serde::{Deserialize, Serialize};
-use state::view::Place;
+use state::view::Node;
 use std::collections::BTreeMap;
 
 /// Names of unconfirmed routers that a confirmation carries at most.
-pub const LAGGING_MAX: usize = 8;
+pub const SLOWEST_MAX: usize = 8;
 
 /// What a subtree has confirmed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Confirm {
+pub struct Confirmation {
     /// Smallest version in force in the subtree.
     pub version: Version,
     /// Routers in the subtree.
@@ -27,18 +27,18 @@
 /// A child in the tree.
 #[derive(Clone, Debug)]
 struct Child {
-    place: Place,
+    place: Node,
     data_centre: Name,
-    confirm: Confirm,
+    confirm: Confirmation,
 }
 
 /// What to tell a node that wants to be fed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Welcome {
+pub enum Attachment {
     /// It is a child from now on.
     Child,
     /// It should ask this node instead.
-    Elsewhere(Place),
+    Redirect(Node),
 }
 
 /// One node's place in the tree.
@@ -65,10 +65,10 @@
     /// subtree has confirmed still holds, and it tells only what changes: forgotten
     /// here, it would never be told again, and one would see a version that is in
     /// force everywhere without the confirmation of some.
-    pub fn welcome(&mut self, place: Place, data_centre: &Name, version: Version) -> Welcome {
+    pub fn attach(&mut self, place: Node, data_centre: &Name, version: Version) -> Attachment {
         if let Some(child) = self.children.get_mut(&place.vm) {
             child.place = place;
-            return Welcome::Child;
+            return Attachment::Child;
         }
         if self.children.len() >= self.fanout {
             self.turn += 1;
@@ -82,10 +82,10 @@
                 count => near().nth(self.turn % count),
             };
             if let Some(child) = next {
-                return Welcome::Elsewhere(child.place.clone());
+                return Attachment::Redirect(child.place.clone());
             }
         }
-        let confirm = Confirm {
+        let confirm = Confirmation {
             version,
             routers: 1,
             slowest: SmallVec::from_iter([place.vm.clone()]),
@@ -97,7 +97,7 @@
             confirm,
         };
         self.children.insert(vm, child);
-        Welcome::Child
+        Attachment::Child
     }
 
     /// A root to which a node is sent that wants to be fed by `me`, which cannot.
@@ -106,8 +106,8 @@
     /// leader. Sent to the same root, they would all wait for it to send the whole
     /// configuration to each: with 422 rules on 0.15 of a core, the last of 8 routers had
     /// it 1.2 s after the first control VM.
-    pub fn send_away(&mut self, roots: &[Place], me: &Name, vm: &Name) -> Option<Place> {
-        let others: SmallVec<[&Place; 8]> = (roots.iter())
+    pub fn redirect(&mut self, roots: &[Node], me: &Name, vm: &Name) -> Option<Node> {
+        let others: SmallVec<[&Node; 8]> = (roots.iter())
             .filter(|r| r.vm != *me && r.vm != *vm)
             .collect();
         self.turn += 1;
@@ -116,7 +116,7 @@
     }
 
     /// Forgets a child.
-    pub fn lost(&mut self, vm: &Name) {
+    pub fn detach(&mut self, vm: &Name) {
         self.children.remove(vm);
     }
 
@@ -126,21 +126,21 @@
     }
 
     /// Takes a child's confirmation for its subtree.
-    pub fn confirm(&mut self, vm: &Name, confirm: Confirm) {
+    pub fn confirm(&mut self, vm: &Name, confirm: Confirmation) {
         if let Some(child) = self.children.get_mut(vm) {
             child.confirm = confirm;
         }
     }
 
     /// What this node and all below it have confirmed.
-    pub fn total(&self, own: Option<(&Name, Version)>) -> Confirm {
-        let mut total = Confirm {
+    pub fn aggregate(&self, own: Option<(&Name, Version)>) -> Confirmation {
+        let mut total = Confirmation {
             version: Version(u64::MAX),
             routers: 0,
             slowest: SmallVec::new(),
         };
         if let Some((vm, version)) = own {
-            total.merge(&Confirm {
+            total.merge(&Confirmation {
                 version,
                 routers: 1,
                 slowest: SmallVec::from_iter([vm.clone()]),
@@ -153,8 +153,8 @@
     }
 }
 
-impl Confirm {
-    fn merge(&mut self, other: &Confirm) {
+impl Confirmation {
+    fn merge(&mut self, other: &Confirmation) {
         self.routers += other.routers;
         if other.version > self.version {
             return;
@@ -163,7 +163,7 @@
             self.version = other.version;
             self.slowest.clear();
         }
-        let room = LAGGING_MAX.saturating_sub(self.slowest.len());
+        let room = SLOWEST_MAX.saturating_sub(self.slowest.len());
         self.slowest
             .extend(other.slowest.iter().take(room).cloned());
     }
--- a/components/coordination/tests/agree.rs
+++ b/components/coordination/tests/agree.rs
@@ -3,16 +3,16 @@
 
 mod model;
 
-use coordination::agree::{
-    Core, Entry, Envelope, Index, Install, Message, Role, Snapshot, Start, Term,
+use coordination::consensus::{
+    Core, Entry, Envelope, Index, Install, Message, Recovery, Role, Snapshot, Term,
 };
 use model::{Faults, World};
 use rstest::rstest;
 use state::clock::Millis;
 use state::config::Draft;
 use state::id::{Name, Version};
-use state::record::{Answer, Disk, Member, Members, Record, Release};
-use state::view::Place;
+use state::record::{Answer, DiskId, Member, Members, Record, Release};
+use state::view::Node;
 
 /// Seeds that CI runs; `AGREE_SEEDS=from..to` runs others.
 fn seeds() -> std::ops::Range<u64> {
@@ -156,7 +156,7 @@
         let leader = world.run_to_leader(3000);
         let view = &world.nodes[leader].store.view;
         assert_eq!(view.config_version, Version(1));
-        let placed: Vec<&Place> = world.nodes.iter().map(|node| &node.place).collect();
+        let placed: Vec<&Node> = world.nodes.iter().map(|node| &node.place).collect();
         assert!(view.control.iter().all(|place| placed.contains(&place)));
     }
 }
@@ -562,20 +562,20 @@
     // Cause: the snapshot replaced the log, and with it five entries that the
     // leader counts on.
     let (all, members, start) = three();
-    let seeds = all.iter().map(|m| m.place.clone()).collect();
+    let seeds = all.iter().map(|m| m.node.clone()).collect();
     let mut core = Core::new(all[0].clone(), seeds, start, Millis(0));
     let entries = (1..=10).map(|n| Entry {
         term: Term(1),
         index: Index(n),
-        record: Record::Blank,
+        record: Record::NoOp,
     });
     let mut say = |message| {
         let envelope = Envelope {
-            from: Disk(2),
-            to: Some(Disk(1)),
+            from: DiskId(2),
+            to: Some(DiskId(1)),
             message,
         };
-        core.step(Millis(1), &all[1].place, envelope);
+        core.step(Millis(1), &all[1].node, envelope);
         core.ready();
         (core.role(), core.log().last(), core.commit())
     };
@@ -605,10 +605,10 @@
 }
 
 /// Three members with empty logs, and what the first one's disk holds.
-fn three() -> (Vec<Member>, Members, Start) {
+fn three() -> (Vec<Member>, Members, Recovery) {
     let member = |n: u8| Member {
-        disk: Disk(u64::from(n)),
-        place: Place {
+        disk: DiskId(u64::from(n)),
+        node: Node {
             vm: Name::try_from(format!("c{n}")).unwrap(),
             address: format!("127.0.0.{n}:7001").parse().unwrap(),
         },
@@ -618,12 +618,12 @@
         voters: all.iter().cloned().collect(),
         learners: Default::default(),
     };
-    let start = Start {
+    let start = Recovery {
         snapshot: Snapshot {
             members: members.clone(),
             ..Snapshot::default()
         },
-        ..Start::default()
+        ..Recovery::default()
     };
     (all, members, start)
 }
@@ -635,25 +635,25 @@
     // member, whose log ends in a later term, is elected and overwrites it.
     // Cause: the entry counted as accepted though its term did not write it.
     let (all, _, mut start) = three();
-    start.hard.term = Term(2);
+    start.ballot.term = Term(2);
     start.entries = (1..=2)
         .map(|n| Entry {
             term: Term(n),
             index: Index(n),
-            record: Record::Blank,
+            record: Record::NoOp,
         })
         .collect();
-    let seeds = all.iter().map(|m| m.place.clone()).collect();
+    let seeds = all.iter().map(|m| m.node.clone()).collect();
     let mut core = Core::new(all[0].clone(), seeds, start, Millis(0));
     let mut say = |now, message: Option<Message>| {
         core.tick(Millis(now));
         if let Some(message) = message {
             let envelope = Envelope {
-                from: Disk(2),
-                to: Some(Disk(1)),
+                from: DiskId(2),
+                to: Some(DiskId(1)),
                 message,
             };
-            core.step(Millis(now), &all[1].place, envelope);
+            core.step(Millis(now), &all[1].node, envelope);
         }
         core.ready();
         let last = core.log().last();
@@ -695,13 +695,13 @@
     // Sequence: one VM of the fleet answers in the name of another's disk.
     // Cause: votes that are counted by what they say of themselves.
     let (all, _, start) = three();
-    let seeds = all.iter().map(|m| m.place.clone()).collect();
+    let seeds = all.iter().map(|m| m.node.clone()).collect();
     let mut core = Core::new(all[0].clone(), seeds, start, Millis(0));
-    let mut say = |now, place: &Place, message| {
+    let mut say = |now, place: &Node, message| {
         core.tick(Millis(now));
         let envelope = Envelope {
-            from: Disk(2),
-            to: Some(Disk(1)),
+            from: DiskId(2),
+            to: Some(DiskId(1)),
             message,
         };
         core.step(Millis(now), place, envelope);
@@ -710,6 +710,6 @@
     };
     let (term, granted) = (Term(1), true);
     let vote = Message::PreVoteReply { term, granted };
-    assert_eq!(say(1000, &all[2].place, vote.clone()), Role::PreCandidate);
-    assert_eq!(say(1001, &all[1].place, vote), Role::Candidate);
+    assert_eq!(say(1000, &all[2].node, vote.clone()), Role::PreCandidate);
+    assert_eq!(say(1001, &all[1].node, vote), Role::Candidate);
 }
--- a/components/coordination/tests/assignment.rs
+++ b/components/coordination/tests/assignment.rs
@@ -2,7 +2,7 @@
 
 mod views;
 
-use coordination::assignment::{is_dedicated, shards, Assigner, Site, SETTLE_MS};
+use coordination::assignment::{is_dedicated, shards, Assigner, Site, CANDIDATE_WAIT_MS};
 use rstest::rstest;
 use state::clock::Millis;
 use state::id::Name;
@@ -70,19 +70,19 @@
 fn a_scheduler_stands_in_the_data_centre_of_its_endpoints() {
     let view = view(&[12, 12]);
     let mut assigner = Assigner::default();
-    assigner.begin(Millis(0));
-    let now = Millis(SETTLE_MS);
+    assigner.reset(Millis(0));
+    let now = Millis(CANDIDATE_WAIT_MS);
     for (vm, data_centre) in [("a", "dc-0"), ("b", "dc-0"), ("c", "dc-1")] {
         let site = Site {
-            place: place(vm),
+            node: place(vm),
             region: name("main"),
             data_centre: name(data_centre),
         };
-        assigner.heard(now, site, 1);
+        assigner.record_heartbeat(now, site, 1);
     }
     let plan = assigner.plan(now, &view, &shards(&view));
     let placed: Vec<(Option<Name>, &str)> = (plan.iter())
-        .map(|a| (a.shard.data_centre.clone(), a.place.vm.as_str()))
+        .map(|a| (a.shard.data_centre.clone(), a.node.vm.as_str()))
         .collect();
     assert_eq!(
         placed,
--- a/components/coordination/tests/candidacy.rs
+++ b/components/coordination/tests/candidacy.rs
@@ -64,7 +64,7 @@
     let shards = shards(&view);
     let mut all = all(60);
     let mut assigner = Assigner::default();
-    assigner.begin(Millis(0));
+    assigner.reset(Millis(0));
     let mut plan = Vec::new();
     for tick in 0..200 {
         let now = Millis(tick * 20);
@@ -73,21 +73,21 @@
             let is_listed = tick >= 100;
             if candidate.stands(now, known(None, is_listed)) {
                 let site = Site {
-                    place: views::place(&format!("r-{n}")),
+                    node: views::place(&format!("r-{n}")),
                     region: views::name("main"),
                     data_centre: views::name(&format!("dc-{}", n % 3)),
                 };
-                assigner.heard(now, site, 1);
+                assigner.record_heartbeat(now, site, 1);
             }
         }
         if plan.is_empty() && tick >= 100 {
             plan = assigner.plan(now, &view, &shards).into_vec();
         }
     }
-    let vms: BTreeSet<_> = plan.iter().map(|a| &a.place.vm).collect();
+    let vms: BTreeSet<_> = plan.iter().map(|a| &a.node.vm).collect();
     assert_eq!((plan.len(), vms.len()), (3, 3), "{plan:?}");
     for (n, assignment) in plan.iter().enumerate() {
-        let number: usize = assignment.place.vm.as_str()[2..].parse().unwrap();
+        let number: usize = assignment.node.vm.as_str()[2..].parse().unwrap();
         assert_eq!(number % 3, n, "{assignment:?}");
     }
 }
--- a/components/coordination/tests/cells.rs
+++ b/components/coordination/tests/cells.rs
@@ -5,17 +5,17 @@
 mod views;
 
 use coordination::ask::Class;
-use coordination::assignment::{shards, CELL_MAX};
-use coordination::cell::{Answer, Catalogue, Cells};
+use coordination::assignment::{shards, SHARD_ENDPOINTS_MAX};
+use coordination::cell::{Answer, Catalogue, Poller};
 use coordination::dispatcher::{Arrival, Bounds, Dispatcher, Home};
 use coordination::homes::Homes;
-use coordination::listing::{Reader, Roster, WHOLE_MAX};
+use coordination::listing::{Reader, Registry, BROADCAST_ENTRIES_MAX};
 use coordination::prompt::Prompt;
 use coordination::recent::{Recent, RECENT_MAX, RECENT_MS};
 use rstest::rstest;
 use state::clock::Millis;
 use state::id::{CustomerId, EndpointId};
-use state::listing::{Listed, Listing};
+use state::listing::{Entry, Listing};
 use state::view::{Shard, View};
 use std::collections::BTreeSet;
 use views::{name, SERVICE};
@@ -26,7 +26,7 @@
 const SLACK_PERCENT: usize = 125;
 
 /// A list with so many endpoints in each data centre.
-fn list(each: usize) -> Vec<Listed> {
+fn list(each: usize) -> Vec<Entry> {
     let all = (0..each * CENTRES).map(|n| {
         let mut listed = endpoints::listed(&format!("e-{n:06}"), None, false);
         listed.endpoint.service = name("assistant");
@@ -37,16 +37,16 @@
 }
 
 /// A control VM that has read it.
-fn reader(each: usize) -> Roster {
-    let mut roster = Roster::default();
-    roster.read(Millis(0), list(each), 1);
-    roster
+fn reader(each: usize) -> Registry {
+    let mut registry = Registry::default();
+    registry.apply_reading(Millis(0), list(each), 1);
+    registry
 }
 
 /// What a router knows of it, with a scheduler for each shard.
-fn partial(roster: &Roster) -> View {
+fn partial(registry: &Registry) -> View {
     let mut view = views::view(None);
-    view.set_census(roster.census().unwrap());
+    view.set_census(registry.census().unwrap());
     let all = shards(&view);
     views::assign(&mut view, all, 1);
     view
@@ -58,34 +58,37 @@
 #[case(2000)]
 #[case(4000)]
 fn a_scheduler_has_a_bounded_number_of_endpoints(#[case] each: usize) {
-    let roster = reader(each);
-    let view = partial(&roster);
+    let registry = reader(each);
+    let view = partial(&registry);
     let all: Vec<Shard> = shards(&view).into_iter().collect();
     let mut counts = vec![0; all.len()];
-    for listed in &roster.listing().endpoints {
+    for listed in &registry.listing().endpoints {
         let covers = |shard: &Shard| shard.covers(listed.id(), &listed.endpoint);
         let covering: Vec<usize> = (0..all.len()).filter(|n| covers(&all[*n])).collect();
         assert_eq!(covering.len(), 1, "{listed:?}");
         counts[covering[0]] += 1;
     }
     let most = counts.iter().max().unwrap();
-    assert!(*most <= CELL_MAX * SLACK_PERCENT / 100, "{counts:?}");
+    assert!(
+        *most <= SHARD_ENDPOINTS_MAX * SLACK_PERCENT / 100,
+        "{counts:?}"
+    );
 }
 
 /// Guards against schedulers that all change when a few endpoints come or go.
 #[test]
 fn endpoints_that_come_and_go_do_not_divide_a_shard_each_time() {
-    let divided = partial(&reader(2 * CELL_MAX + 10));
+    let divided = partial(&reader(2 * SHARD_ENDPOINTS_MAX + 10));
     let again = |each: usize| {
         let mut view = divided.clone();
         view.set_census(reader(each).census().unwrap());
         shards(&view)
     };
     let before = shards(&divided);
-    assert_eq!(again(2 * CELL_MAX - 10), before);
-    assert_eq!(again(CELL_MAX), before);
+    assert_eq!(again(2 * SHARD_ENDPOINTS_MAX - 10), before);
+    assert_eq!(again(SHARD_ENDPOINTS_MAX), before);
     // Each of its cells has half of the endpoints of one of these.
-    let doubled = again(4 * CELL_MAX + 10);
+    let doubled = again(4 * SHARD_ENDPOINTS_MAX + 10);
     assert_eq!(doubled.len(), 2 * before.len());
     let listed = &list(1)[0];
     let covers = |all: &BTreeSet<Shard>| {
@@ -154,12 +157,12 @@
 /// Entries that a release of a hundredth of all endpoints brings to one scheduler and to
 /// one router.
 fn heard(each: usize) -> (usize, usize) {
-    let mut roster = reader(each);
-    let view = partial(&roster);
+    let mut registry = reader(each);
+    let view = partial(&registry);
     let shard = shards(&view).into_iter().next().unwrap();
     let mut catalogue = Catalogue::new(1);
-    let mut cells = Cells::default();
-    cells.follow([shard.clone()]);
+    let mut cells = Poller::default();
+    cells.set_shards([shard.clone()]);
     let mut entries = 0;
     for round in 0..4 {
         let now = Millis(round * 1000);
@@ -167,32 +170,32 @@
         next.iter_mut()
             .take(round as usize * each * CENTRES / 100)
             .for_each(|l| l.leaving = true);
-        roster.read(now, next, 2 + round);
-        catalogue.follow(now, roster.change());
-        for question in cells.due(now) {
+        registry.apply_reading(now, next, 2 + round);
+        catalogue.apply_change(now, registry.change());
+        for question in cells.due_queries(now) {
             let answer = catalogue.answer(
                 now,
                 &question.shard,
                 &name("assistant"),
-                roster.listing(),
-                question.known,
+                registry.listing(),
+                question.known_id,
             );
             entries += match &answer {
                 Answer::Whole(listing) => listing.endpoints.len(),
                 Answer::Change(change) => change.set.len() + change.gone.len(),
-                Answer::Kept => 0,
+                Answer::Unchanged => 0,
             };
-            cells.take(now, &shard, answer);
+            cells.apply_answer(now, &shard, answer);
         }
     }
-    let of_shard = |l: &&Listed| shard.covers(l.id(), &l.endpoint);
-    let expected: Vec<Listed> = (roster.listing().endpoints.iter())
+    let of_shard = |l: &&Entry| shard.covers(l.id(), &l.endpoint);
+    let expected: Vec<Entry> = (registry.listing().endpoints.iter())
         .filter(of_shard)
         .cloned()
         .collect();
-    let known = cells.rosters().next().unwrap().listing();
+    let known = cells.registries().next().unwrap().listing();
     assert_eq!(known.endpoints, expected, "it follows all changes");
-    (entries, roster.census().unwrap().counts.len())
+    (entries, registry.census().unwrap().counts.len())
 }
 
 /// Guards against a list that every process holds, and hears each change of.
@@ -200,7 +203,7 @@
 fn a_change_of_the_list_goes_to_those_who_need_it() {
     let (scheduler, router) = heard(2000);
     let (scheduler_at_twice, router_at_twice) = heard(4000);
-    let bound = CELL_MAX * 2;
+    let bound = SHARD_ENDPOINTS_MAX * 2;
     assert!(
         scheduler <= bound && scheduler_at_twice <= bound,
         "{scheduler} {scheduler_at_twice}"
@@ -213,23 +216,23 @@
 #[test]
 fn a_scheduler_asks_another_control_vm_after_a_silence() {
     let shard = shards(&partial(&reader(2000))).into_iter().next().unwrap();
-    let mut cells = Cells::default();
-    cells.follow([shard.clone()]);
+    let mut cells = Poller::default();
+    cells.set_shards([shard.clone()]);
     let mut turns = BTreeSet::new();
     for tick in 0..200 {
         let now = Millis(tick * 20);
-        turns.extend(cells.due(now).into_iter().map(|q| q.turn));
+        turns.extend(cells.due_queries(now).into_iter().map(|q| q.attempt));
     }
     assert!(turns.len() > 1, "{turns:?}");
-    let mut cells = Cells::default();
-    cells.follow([shard.clone()]);
+    let mut cells = Poller::default();
+    cells.set_shards([shard.clone()]);
     let mut asked = 0;
     for tick in 0..200 {
         let now = Millis(tick * 20);
-        for question in cells.due(now) {
-            assert_eq!(question.turn, 0);
+        for question in cells.due_queries(now) {
+            assert_eq!(question.attempt, 0);
             asked += 1;
-            cells.take(now, &shard, Answer::Kept);
+            cells.apply_answer(now, &shard, Answer::Unchanged);
         }
     }
     assert!(asked <= 9, "{asked} in four seconds");
@@ -239,15 +242,16 @@
 /// do not hold it leave it alone, however long nobody tells of it.
 #[test]
 fn routers_leave_a_long_list_to_control_vms() {
-    let mut router = Roster::default();
-    let reads = |roster: &Roster, routers| roster.patience_ms(Reader::Router(routers), 500, 7);
+    let mut router = Registry::default();
+    let reads =
+        |registry: &Registry, routers| registry.read_delay_ms(Reader::Router(routers), 500, 7);
     assert_eq!(reads(&router, None), None, "it has heard nothing");
     assert_eq!(reads(&router, Some(1000)), None);
-    router.take_census(Millis(0), reader(2000).census().unwrap().clone());
+    router.apply_census(Millis(0), reader(2000).census().unwrap().clone());
     assert_eq!(reads(&router, Some(1000)), None);
-    let mut whole = Roster::default();
-    let endpoints = list(WHOLE_MAX / CENTRES);
-    whole.take(Millis(0), Listing { id: 3, endpoints });
+    let mut whole = Registry::default();
+    let endpoints = list(BROADCAST_ENTRIES_MAX / CENTRES);
+    whole.apply_listing(Millis(0), Listing { id: 3, endpoints });
     assert!(reads(&whole, Some(6)).is_some());
     assert_eq!(reads(&whole, None), None, "they are not counted yet");
 }
@@ -258,43 +262,45 @@
 #[case(4000)]
 fn the_leader_reads_a_long_list_less_often(#[case] each: usize) {
     const PAGE: u64 = 200;
-    let roster = reader(each);
-    let every_ms = roster.patience_ms(Reader::Leader, 500, 7).unwrap();
+    let registry = reader(each);
+    let every_ms = registry.read_delay_ms(Reader::Leader, 500, 7).unwrap();
     let pages = (each * CENTRES) as u64 / PAGE;
     assert!(pages * 1000 / every_ms <= 50, "{every_ms}");
     // One that follows it waits for longer than a reading may take.
-    let led = Reader::Control { is_led: true };
-    assert!(roster.patience_ms(led, 500, 7).unwrap() >= 5 * every_ms);
+    let led = Reader::Control {
+        follows_leader: true,
+    };
+    assert!(registry.read_delay_ms(led, 500, 7).unwrap() >= 5 * every_ms);
 }
 
 /// Guards against a reading of many pages that is worth nothing since one of them failed.
 #[test]
 fn a_reading_that_fails_keeps_what_it_has_read() {
-    let mut roster = Roster::default();
-    assert!(roster.read_part(Millis(0), list(200)[..700].to_vec(), 1));
-    assert_eq!(roster.listing().endpoints.len(), 700);
+    let mut registry = Registry::default();
+    assert!(registry.apply_partial_reading(Millis(0), list(200)[..700].to_vec(), 1));
+    assert_eq!(registry.listing().endpoints.len(), 700);
     let mut later = list(200)[600..].to_vec();
     later[0].leaving = true;
-    assert!(roster.read_part(Millis(500), later, 2));
-    assert_eq!(roster.listing().endpoints.len(), 1000);
-    assert!(roster.listing().endpoints[600].leaving);
+    assert!(registry.apply_partial_reading(Millis(500), later, 2));
+    assert_eq!(registry.listing().endpoints.len(), 1000);
+    assert!(registry.listing().endpoints[600].leaving);
     // What it lacks says nothing, however often.
     for n in 0..5 {
-        roster.read_part(Millis(1000 + n * 500), list(200)[..10].to_vec(), 3 + n);
+        registry.apply_partial_reading(Millis(1000 + n * 500), list(200)[..10].to_vec(), 3 + n);
     }
-    assert_eq!(roster.listing().endpoints.len(), 1000);
+    assert_eq!(registry.listing().endpoints.len(), 1000);
 }
 
 /// Guards against endpoints that leave and are forgotten as such in a release of a large
 /// fleet: a reader that has older pages would bring them back.
 #[test]
 fn a_release_of_a_large_fleet_is_remembered() {
-    let mut roster = reader(2000);
+    let mut registry = reader(2000);
     let mut leaving = list(2000);
     leaving.iter_mut().for_each(|l| l.leaving = true);
-    roster.read(Millis(1000), leaving, 2);
-    roster.read(Millis(2000), list(2000), 3);
-    assert!(roster.listing().endpoints.iter().all(|l| l.leaving));
+    registry.apply_reading(Millis(1000), leaving, 2);
+    registry.apply_reading(Millis(2000), list(2000), 3);
+    assert!(registry.listing().endpoints.iter().all(|l| l.leaving));
 }
 
 /// Guards against a router that holds every endpoint that it was ever granted, and against
--- a/components/coordination/tests/cold.rs
+++ b/components/coordination/tests/cold.rs
@@ -11,7 +11,7 @@
 use coordination::ask::{Grant, Hello, Seq, Verdict};
 use coordination::assignment::shards;
 use coordination::dispatcher::{Dispatcher, Effect, LOCAL_MS};
-use coordination::listing::Roster;
+use coordination::listing::Registry;
 use coordination::prompt::Prompt;
 use coordination::ramp::Ramp;
 use coordination::returns::Returns;
@@ -20,7 +20,7 @@
 use state::config::{Cold, Engine};
 use state::evacuation::Evacuation;
 use state::id::{EndpointId, Epoch, Version};
-use state::listing::Listed;
+use state::listing::Entry;
 use state::view::View;
 use std::collections::BTreeMap;
 use views::{add, assign, name, view, SERVICE};
@@ -303,8 +303,8 @@
     assert!(late.warm_at.is_empty());
 }
 
-fn listed(text: &str, cold_ms: u32) -> Listed {
-    Listed {
+fn listed(text: &str, cold_ms: u32) -> Entry {
+    Entry {
         cold_ms,
         ..endpoints::listed(text, Some(1), false)
     }
@@ -315,20 +315,20 @@
 #[test]
 fn can_follow_cold_times_without_a_change_at_each_reading() {
     let id = listed("a", 0).id();
-    let mut roster = Roster::default();
-    assert!(roster.read(Millis(0), vec![listed("a", 3000)], 1));
-    assert_eq!(roster.warm_at().get(&id), Some(&Millis(3000)));
-    assert!(!roster.read(Millis(500), vec![listed("a", 2700)], 2));
-    assert_eq!(roster.told(Millis(1000)).endpoints[0].cold_ms, 2000);
-    assert!(roster.read(Millis(1000), vec![listed("a", 3000)], 3));
-    assert_eq!(roster.warm_at().get(&id), Some(&Millis(4000)));
-    let mut other = Roster::default();
-    assert!(other.take(Millis(70), roster.told(Millis(1000))));
+    let mut registry = Registry::default();
+    assert!(registry.apply_reading(Millis(0), vec![listed("a", 3000)], 1));
+    assert_eq!(registry.warm_at().get(&id), Some(&Millis(3000)));
+    assert!(!registry.apply_reading(Millis(500), vec![listed("a", 2700)], 2));
+    assert_eq!(registry.export(Millis(1000)).endpoints[0].cold_ms, 2000);
+    assert!(registry.apply_reading(Millis(1000), vec![listed("a", 3000)], 3));
+    assert_eq!(registry.warm_at().get(&id), Some(&Millis(4000)));
+    let mut other = Registry::default();
+    assert!(other.apply_listing(Millis(70), registry.export(Millis(1000))));
     assert_eq!(other.warm_at().get(&id), Some(&Millis(3070)));
-    assert!(!other.take(Millis(90), roster.told(Millis(1020))));
-    assert!(!roster.read(Millis(5000), vec![listed("a", 0)], 4));
-    assert!(roster.warm_at().is_empty());
-    assert!(roster.read(Millis(6000), vec![listed("a", 3000)], 5));
+    assert!(!other.apply_listing(Millis(90), registry.export(Millis(1020))));
+    assert!(!registry.apply_reading(Millis(5000), vec![listed("a", 0)], 4));
+    assert!(registry.warm_at().is_empty());
+    assert!(registry.apply_reading(Millis(6000), vec![listed("a", 3000)], 5));
 }
 
 /// Guards against a ramp that lets more through after a pause.
--- a/components/coordination/tests/decisions.rs
+++ b/components/coordination/tests/decisions.rs
@@ -11,13 +11,13 @@
 use coordination::rule::{decide, idempotent, shadowed, Request};
 use coordination::scheduler::{Effect, Effects, Scheduler, Session, GATHER_MS, ORPHAN_MS};
 use coordination::slot::{Claims, Slots, Wish};
-use coordination::tree::{Confirm, Tree, Welcome};
+use coordination::tree::{Attachment, Confirmation, Tree};
 use rstest::rstest;
 use state::clock::Millis;
 use state::config::{Cost, Endpoint, Rule, Service, Then, When};
 use state::id::{CustomerId, EndpointId, Epoch, Name, Version};
 use state::route::Routes;
-use state::view::{Place, View};
+use state::view::{Node, View};
 
 const A: CustomerId = CustomerId(1);
 const B: CustomerId = CustomerId(2);
@@ -468,8 +468,8 @@
     assert_eq!(granted(&scheduler.ask(now, reborn, ask(1, A, 0, 0))), [1]);
 }
 
-fn place(n: usize) -> Place {
-    Place {
+fn place(n: usize) -> Node {
+    Node {
         vm: name(&format!("r{n}")),
         address: "127.0.0.1:7001".parse().unwrap(),
     }
@@ -483,8 +483,8 @@
     // sends them on.
     // Cause: it named the same other one to all; that one had to send the whole
     // configuration to every router.
-    let roots: Vec<Place> = ["c1", "c2", "c3"]
-        .map(|vm| Place {
+    let roots: Vec<Node> = ["c1", "c2", "c3"]
+        .map(|vm| Node {
             vm: name(vm),
             address: "127.0.0.1:7001".parse().unwrap(),
         })
@@ -492,11 +492,11 @@
     let mut tree = Tree::new(8);
     let mut sent: std::collections::BTreeMap<Name, u32> = std::collections::BTreeMap::new();
     for n in 0..8 {
-        let to = tree.send_away(&roots, &name("c1"), &name(&format!("r{n}")));
+        let to = tree.redirect(&roots, &name("c1"), &name(&format!("r{n}")));
         *sent.entry(to.unwrap().vm).or_default() += 1;
     }
     assert_eq!(sent.into_values().collect::<Vec<_>>(), [4, 4]);
-    assert_eq!(tree.send_away(&roots[..1], &name("c1"), &name("r1")), None);
+    assert_eq!(tree.redirect(&roots[..1], &name("c1"), &name("r1")), None);
 }
 
 #[test]
@@ -506,27 +506,27 @@
     // step and asks its parent again.
     // Cause: a parent that takes it for a new child, while the child tells only
     // what changes.
-    let place = |n: u8| Place {
+    let place = |n: u8| Node {
         vm: name(&format!("r{n}")),
         address: format!("127.0.0.{n}:1").parse().unwrap(),
     };
     let mut tree = Tree::new(2);
-    tree.welcome(place(1), &name("dc-1"), Version(4));
-    let confirm = Confirm {
+    tree.attach(place(1), &name("dc-1"), Version(4));
+    let confirm = Confirmation {
         version: Version(5),
         routers: 3,
         slowest: [name("r1")].into_iter().collect(),
     };
     tree.confirm(&name("r1"), confirm.clone());
     assert_eq!(
-        tree.welcome(place(1), &name("dc-1"), Version(4)),
-        Welcome::Child
+        tree.attach(place(1), &name("dc-1"), Version(4)),
+        Attachment::Child
     );
-    assert_eq!(tree.total(None), confirm);
+    assert_eq!(tree.aggregate(None), confirm);
     // One whose link was lost is a new child.
-    tree.lost(&name("r1"));
-    tree.welcome(place(1), &name("dc-1"), Version(4));
-    assert_eq!(tree.total(None).routers, 1);
+    tree.detach(&name("r1"));
+    tree.attach(place(1), &name("dc-1"), Version(4));
+    assert_eq!(tree.aggregate(None).routers, 1);
 }
 
 #[test]
@@ -536,9 +536,9 @@
     for n in 1..=340 {
         let mut at = 0;
         loop {
-            match nodes[at].welcome(place(n), &name("dc-1"), Version(1)) {
-                Welcome::Child => break,
-                Welcome::Elsewhere(next) => {
+            match nodes[at].attach(place(n), &name("dc-1"), Version(1)) {
+                Attachment::Child => break,
+                Attachment::Redirect(next) => {
                     at = next.vm.as_str()[1..].parse().unwrap();
                 }
             }
@@ -560,11 +560,11 @@
     for n in 1..=300_u16 {
         let mut at = 0;
         let of = centre_of(usize::from(n));
-        let place = Place {
+        let place = Node {
             vm: name(&format!("r{n}")),
             address: "127.0.0.1:1".parse().unwrap(),
         };
-        while let Welcome::Elsewhere(next) = nodes[at].welcome(place.clone(), of, Version(1)) {
+        while let Attachment::Redirect(next) = nodes[at].attach(place.clone(), of, Version(1)) {
             at = next.vm.as_str()[1..].parse().unwrap();
         }
         crossings += usize::from(at == 0 || centre_of(at) != of);
@@ -579,19 +579,19 @@
 #[test]
 fn can_tell_operators_which_routers_lag() {
     let mut tree = Tree::new(4);
-    tree.welcome(place(1), &name("dc-1"), Version(5));
-    tree.welcome(place(2), &name("dc-1"), Version(7));
+    tree.attach(place(1), &name("dc-1"), Version(5));
+    tree.attach(place(2), &name("dc-1"), Version(7));
     let own = name("c1");
-    let total = tree.total(Some((&own, Version(7))));
+    let total = tree.aggregate(Some((&own, Version(7))));
     assert_eq!((total.version, total.routers), (Version(5), 3));
     assert_eq!(total.slowest.to_vec(), [name("r1")]);
-    let confirm = Confirm {
+    let confirm = Confirmation {
         version: Version(7),
         routers: 4,
         slowest: Default::default(),
     };
     tree.confirm(&name("r1"), confirm);
-    let total = tree.total(Some((&own, Version(7))));
+    let total = tree.aggregate(Some((&own, Version(7))));
     assert_eq!((total.version, total.routers), (Version(7), 6));
 }
 
@@ -649,7 +649,7 @@
             data_centre: name("dc"),
             region: name("main"),
             slots: 1,
-            lead: 0,
+            prefetch: 0,
         };
         view.config
             .endpoints
--- a/components/coordination/tests/dispatcher.rs
+++ b/components/coordination/tests/dispatcher.rs
@@ -10,7 +10,7 @@
 use state::clock::Millis;
 use state::config::{Cost, Endpoint, Service};
 use state::id::{CustomerId, EndpointId, Epoch, Name, ServiceId};
-use state::view::{Assignment, Place, Shard, View};
+use state::view::{Assignment, Node, Shard, View};
 
 const SERVICE: ServiceId = ServiceId(1);
 const ENDPOINT: EndpointId = EndpointId(2);
@@ -44,7 +44,7 @@
             data_centre: name("dc"),
             region: name("main"),
             slots: 4,
-            lead: 1,
+            prefetch: 1,
         },
     );
     view.assignments.push(Assignment {
@@ -54,7 +54,7 @@
             region: name("main"),
             cell: None,
         },
-        place: Place {
+        node: Node {
             vm: name("s"),
             address: "127.0.0.1:7001".parse().unwrap(),
         },
@@ -311,7 +311,7 @@
     view.config.endpoints.insert(EndpointId(3), endpoint);
     let mut assignment = view.assignments[0].clone();
     assignment.shard.region = name("other");
-    assignment.place.vm = name("t");
+    assignment.node.vm = name("t");
     assignment.epoch = Epoch(5);
     view.assignments.push(assignment);
     view
@@ -320,7 +320,7 @@
 fn asks(effects: &[Effect]) -> Vec<(String, coordination::ask::Ask)> {
     let each = effects.iter().filter_map(|e| match e {
         Effect::Report(assignment, Report::Ask(ask)) => {
-            Some((assignment.place.vm.to_string(), *ask))
+            Some((assignment.node.vm.to_string(), *ask))
         }
         _ => None,
     });
@@ -358,7 +358,7 @@
     let done = dispatcher.done(Millis(400), handle, 9, Verdict::Fine);
     assert!(
         matches!(&done[..], [Effect::Report(assignment, Report::Done(seq, 9, Verdict::Fine))]
-        if assignment.place.vm == name("t") && *seq == ask.seq)
+        if assignment.node.vm == name("t") && *seq == ask.seq)
     );
 }
 
--- a/components/coordination/tests/endpoints/mod.rs
+++ b/components/coordination/tests/endpoints/mod.rs
@@ -3,14 +3,14 @@
 
 use state::config::Endpoint;
 use state::id::Name;
-use state::listing::Listed;
+use state::listing::Entry;
 
 /// An endpoint of four slots.
-pub(crate) fn listed(name: &str, born: Option<u64>, leaving: bool) -> Listed {
+pub(crate) fn listed(name: &str, born: Option<u64>, leaving: bool) -> Entry {
     let text = |text: &str| Name::try_from(text).unwrap();
-    Listed {
+    Entry {
         leaving,
-        born,
+        started_ms: born,
         cold_ms: 0,
         endpoint: Endpoint {
             name: text(name),
@@ -19,7 +19,7 @@
             data_centre: text("dc"),
             region: text("main"),
             slots: 4,
-            lead: 0,
+            prefetch: 0,
         },
     }
 }
--- a/components/coordination/tests/fleet/mod.rs
+++ b/components/coordination/tests/fleet/mod.rs
@@ -18,7 +18,7 @@
 use state::clock::Millis;
 use state::config::{Cost, Endpoint, Service};
 use state::id::{CustomerId, EndpointId, Epoch, Name, ServiceId};
-use state::view::{Assignment, Change, Place, Shard, Step, View};
+use state::view::{Assignment, Change, Node, Shard, Step, View};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 
@@ -624,7 +624,7 @@
             version: state::id::Version(self.view.version.0 + 1),
             change: Change::Assignment(assignment(self.scheduler.epoch())),
         };
-        self.view.take(&step);
+        self.view.apply_step(&step);
         for n in 0..self.routers.len() {
             let effects = self.routers[n].dispatcher.follow(now, &self.view);
             self.act(n, effects);
@@ -653,7 +653,7 @@
             region: Name::try_from("main").unwrap(),
             cell: None,
         },
-        place: Place {
+        node: Node {
             vm: Name::try_from("s").unwrap(),
             address: "127.0.0.1:7001".parse().unwrap(),
         },
@@ -684,7 +684,7 @@
             data_centre: name("dc"),
             region: name("main"),
             slots: setup.batch,
-            lead: LEAD,
+            prefetch: LEAD,
         };
         view.config.endpoints.insert(EndpointId(n), endpoint);
     }
--- a/components/coordination/tests/listing.rs
+++ b/components/coordination/tests/listing.rs
@@ -3,16 +3,16 @@
 
 mod endpoints;
 
-use coordination::listing::{router_patience_ms, Roster, MISSING};
+use coordination::listing::{router_read_delay_ms, Registry, MISSING_READINGS_MAX};
 use state::clock::Millis;
-use state::listing::{Listed, Listing};
+use state::listing::{Entry, Listing};
 
-fn listed(name: &str, leaving: bool) -> Listed {
+fn listed(name: &str, leaving: bool) -> Entry {
     endpoints::listed(name, None, leaving)
 }
 
-fn names(roster: &Roster) -> Vec<String> {
-    let all = roster.listing().endpoints.iter();
+fn names(registry: &Registry) -> Vec<String> {
+    let all = registry.listing().endpoints.iter();
     all.map(|l| format!("{}{}", l.endpoint.name, if l.leaving { "!" } else { "" }))
         .collect()
 }
@@ -22,19 +22,19 @@
     // Symptom: an endpoint that lives gets no work, and its kept parts are lost.
     // Sequence: the list changes between two of its pages, and one reading lacks it.
     // Cause: a reading that is taken for the whole truth.
-    let mut roster = Roster::default();
-    assert!(roster.read(Millis(0), vec![listed("a", false), listed("b", false)], 1));
-    assert!(!roster.read(Millis(500), vec![listed("a", false)], 2));
-    assert_eq!(names(&roster), ["a", "b"]);
-    assert!(!roster.read(
+    let mut registry = Registry::default();
+    assert!(registry.apply_reading(Millis(0), vec![listed("a", false), listed("b", false)], 1));
+    assert!(!registry.apply_reading(Millis(500), vec![listed("a", false)], 2));
+    assert_eq!(names(&registry), ["a", "b"]);
+    assert!(!registry.apply_reading(
         Millis(1000),
         vec![listed("a", false), listed("b", false)],
         3
     ));
-    for n in 1..=u64::from(MISSING) {
-        roster.read(Millis(1000 + 500 * n), vec![listed("a", false)], 3 + n);
+    for n in 1..=u64::from(MISSING_READINGS_MAX) {
+        registry.apply_reading(Millis(1000 + 500 * n), vec![listed("a", false)], 3 + n);
     }
-    assert_eq!(names(&roster), ["a"]);
+    assert_eq!(names(&registry), ["a"]);
 }
 
 #[test]
@@ -43,22 +43,22 @@
     // Sequence: one VM reads that it leaves; another, whose pages are older, takes
     // over and says that it does not.
     // Cause: the last reading wins, whatever was known before.
-    let mut roster = Roster::default();
-    roster.read(Millis(0), vec![listed("a", true), listed("b", false)], 1);
+    let mut registry = Registry::default();
+    registry.apply_reading(Millis(0), vec![listed("a", true), listed("b", false)], 1);
     let older = Listing {
         id: 7,
         endpoints: vec![listed("a", false), listed("b", false)],
     };
-    roster.take(Millis(100), older);
-    assert_eq!(names(&roster), ["a!", "b"]);
+    registry.apply_listing(Millis(100), older);
+    assert_eq!(names(&registry), ["a!", "b"]);
 }
 
 #[test]
 fn can_drop_a_leaving_endpoint_at_the_first_reading_without_it() {
-    let mut roster = Roster::default();
-    roster.read(Millis(0), vec![listed("a", true), listed("b", false)], 1);
-    assert!(roster.read(Millis(500), vec![listed("b", false)], 2));
-    assert_eq!(names(&roster), ["b"]);
+    let mut registry = Registry::default();
+    registry.apply_reading(Millis(0), vec![listed("a", true), listed("b", false)], 1);
+    assert!(registry.apply_reading(Millis(500), vec![listed("b", false)], 2));
+    assert_eq!(names(&registry), ["b"]);
 }
 
 #[test]
@@ -66,11 +66,11 @@
     // Symptom: no router hears of endpoints that come and go.
     // Sequence: the VM that reads the list for all is lost.
     // Cause: a reader that somebody has to appoint.
-    let mut leader = Roster::default();
-    let mut other = Roster::default();
+    let mut leader = Registry::default();
+    let mut other = Registry::default();
     assert!(leader.is_due(Millis(500), 500));
-    leader.read(Millis(500), vec![listed("a", false)], 1);
-    other.take(Millis(505), (**leader.listing()).clone());
+    leader.apply_reading(Millis(500), vec![listed("a", false)], 1);
+    other.apply_listing(Millis(505), (**leader.listing()).clone());
     assert!(!other.is_due(Millis(1500), 1100));
     assert!(other.confirm(Millis(1005), 1));
     assert!(!other.confirm(Millis(1010), 99));
@@ -85,7 +85,7 @@
     // Cause: the turns of 291 routers lay within half a second.
     let readers = |routers: u32| {
         let lives = (0..u64::from(routers)).map(|n| n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        let turns = lives.map(|life| router_patience_ms(500, routers, life));
+        let turns = lives.map(|life| router_read_delay_ms(500, routers, life));
         let mut turns: Vec<u64> = turns.collect();
         turns.sort_unstable();
         let first = turns[0];
@@ -105,38 +105,38 @@
 /// and against changes that a process applies to another list than theirs.
 #[test]
 fn can_follow_a_list_by_its_changes() {
-    let all = |leaving: &[bool]| -> Vec<Listed> {
+    let all = |leaving: &[bool]| -> Vec<Entry> {
         let each = leaving.iter().enumerate();
         each.map(|(n, leaving)| listed(&format!("e-{n}"), *leaving))
             .collect()
     };
-    let mut reader = Roster::default();
-    let mut other = Roster::default();
-    reader.read(Millis(0), all(&[false; 300]), 1);
+    let mut reader = Registry::default();
+    let mut other = Registry::default();
+    reader.apply_reading(Millis(0), all(&[false; 300]), 1);
     assert_eq!(
-        other.follow(Millis(5), &reader.told_change(Millis(0))),
+        other.apply_change(Millis(5), &reader.export_change(Millis(0))),
         Some(true)
     );
     let mut later = vec![false; 300];
     later[7] = true;
     later.truncate(299);
-    for n in 0..u64::from(MISSING) {
-        reader.read(Millis(500 * n + 500), all(&later), 2 + n);
+    for n in 0..u64::from(MISSING_READINGS_MAX) {
+        reader.apply_reading(Millis(500 * n + 500), all(&later), 2 + n);
     }
-    let change = reader.told_change(Millis(1000));
+    let change = reader.export_change(Millis(1000));
     assert_eq!((change.set.len(), change.gone.len()), (0, 1), "{change:?}");
     // The one between was lost on its way: it has to ask for the whole list.
-    assert_eq!(other.follow(Millis(1005), &change), None);
-    assert!(other.take(Millis(1010), reader.told(Millis(1005))));
+    assert_eq!(other.apply_change(Millis(1005), &change), None);
+    assert!(other.apply_listing(Millis(1010), reader.export(Millis(1005))));
     assert_eq!(names(&other), names(&reader));
     assert_eq!(
-        other.follow(Millis(1015), &change),
+        other.apply_change(Millis(1015), &change),
         Some(false),
         "it is known"
     );
-    reader.read(Millis(1500), all(&[true; 299]), 9);
+    reader.apply_reading(Millis(1500), all(&[true; 299]), 9);
     assert_eq!(
-        other.follow(Millis(1505), &reader.told_change(Millis(1500))),
+        other.apply_change(Millis(1505), &reader.export_change(Millis(1500))),
         Some(true)
     );
     assert_eq!(names(&other), names(&reader));
@@ -145,17 +145,17 @@
 /// Guards against a change that leaves out that an endpoint has turned cold.
 #[test]
 fn can_tell_a_change_of_cold_endpoints_alone() {
-    let mut reader = Roster::default();
-    let mut other = Roster::default();
-    let cold = |cold_ms| Listed {
+    let mut reader = Registry::default();
+    let mut other = Registry::default();
+    let cold = |cold_ms| Entry {
         cold_ms,
         ..listed("a", false)
     };
-    reader.read(Millis(0), vec![cold(0), listed("b", false)], 1);
-    other.follow(Millis(0), &reader.told_change(Millis(0)));
-    assert!(reader.read(Millis(500), vec![cold(3000), listed("b", false)], 2));
-    let change = reader.told_change(Millis(700));
+    reader.apply_reading(Millis(0), vec![cold(0), listed("b", false)], 1);
+    other.apply_change(Millis(0), &reader.export_change(Millis(0)));
+    assert!(reader.apply_reading(Millis(500), vec![cold(3000), listed("b", false)], 2));
+    let change = reader.export_change(Millis(700));
     assert_eq!(change.set.len(), 1);
-    assert_eq!(other.follow(Millis(700), &change), Some(true));
+    assert_eq!(other.apply_change(Millis(700), &change), Some(true));
     assert_eq!(other.warm_at().values().next(), Some(&Millis(3500)));
 }
--- a/components/coordination/tests/model/mod.rs
+++ b/components/coordination/tests/model/mod.rs
@@ -9,8 +9,8 @@
     reason = "a helper that panics fails its test"
 )]
 
-use coordination::agree::{
-    Admission, Core, Entry, Envelope, Index, Ready, Role, Snapshot, Start, Term,
+use coordination::consensus::{
+    Admission, Core, Entry, Envelope, Index, Ready, Recovery, Role, Snapshot, Term,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -18,9 +18,9 @@
 use state::config::Draft;
 use state::delta::Delta;
 use state::id::{Name, Version};
-use state::record::{Answer, ChangeId, Disk, Member, Record};
+use state::record::{Answer, ChangeId, DiskId, Member, Record};
 use state::store::Store;
-use state::view::Place;
+use state::view::Node;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -73,14 +73,14 @@
 /// What one disk holds.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Medium {
-    pub(crate) id: Disk,
-    pub(crate) start: Start,
+    pub(crate) id: DiskId,
+    pub(crate) start: Recovery,
     /// Whether it was there when the fleet first started.
     pub(crate) begins: bool,
 }
 
-pub(crate) struct Node {
-    pub(crate) place: Place,
+pub(crate) struct Process {
+    pub(crate) place: Node,
     pub(crate) core: Option<Core>,
     pub(crate) medium: Medium,
     pub(crate) store: Store,
@@ -108,14 +108,14 @@
 
 pub(crate) struct World {
     pub(crate) now: u64,
-    pub(crate) nodes: Vec<Node>,
+    pub(crate) nodes: Vec<Process>,
     pub(crate) rng: Pcg64,
     pub(crate) faults: Faults,
     pub(crate) cut: BTreeSet<(usize, usize)>,
     /// When false, a member counts its entries as safe before they are synced.
     pub(crate) sync_first: bool,
     pub(crate) accepted: BTreeMap<Index, (Term, Record)>,
-    pub(crate) leaders: BTreeMap<Term, Disk>,
+    pub(crate) leaders: BTreeMap<Term, DiskId>,
     pub(crate) answers: BTreeMap<ChangeId, Answer>,
     /// Messages sent so far.
     pub(crate) sent: u64,
@@ -180,10 +180,10 @@
         world
     }
 
-    fn push(&mut self, place: Place) {
+    fn push(&mut self, place: Node) {
         let drift = self.faults.drift;
         let rate = 100 - drift + self.rng.random_range(0..=2 * drift);
-        self.nodes.push(Node {
+        self.nodes.push(Process {
             place,
             core: None,
             medium: Medium::default(),
@@ -219,8 +219,8 @@
     pub(crate) fn wipe(&mut self, n: usize) {
         self.next_disk += 1;
         self.nodes[n].medium = Medium {
-            id: Disk(self.next_disk.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
-            start: Start::default(),
+            id: DiskId(self.next_disk.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+            start: Recovery::default(),
             // Only the first start of all is told to be one.
             begins: self.now == 0,
         };
@@ -231,14 +231,14 @@
         let seeds = self.nodes.iter().map(|node| node.place.clone()).collect();
         let me = Member {
             disk: self.nodes[n].medium.id,
-            place: self.nodes[n].place.clone(),
+            node: self.nodes[n].place.clone(),
         };
         let start = self.nodes[n].medium.start.clone();
         self.nodes[n].store = restore(&start.snapshot);
         let mut core = Core::new(me, seeds, start, self.clock(n));
         if self.open {
-            core.admit_by(Admission::Open {
-                begins: self.nodes[n].medium.begins,
+            core.set_admission(Admission::Open {
+                may_bootstrap: self.nodes[n].medium.begins,
                 voters: self.wanted,
             });
         }
@@ -334,7 +334,7 @@
                 break;
             }
             let last = core.log().last();
-            let hard = core.hard();
+            let hard = core.ballot();
             if !self.sync_first {
                 // The guard is off: what was written is lost in a crash.
                 self.nodes[n].core.as_mut().unwrap().synced(last);
@@ -360,9 +360,9 @@
     pub(crate) fn flush(&mut self, n: usize) {
         let core = self.nodes[n].core.as_ref().unwrap();
         let snapshot = core.log().snapshot().clone();
-        let start = Start {
-            hard: core.hard(),
-            entries: core.log().from(snapshot.index.next(), usize::MAX),
+        let start = Recovery {
+            ballot: core.ballot(),
+            entries: core.log().entries_from(snapshot.index.next(), usize::MAX),
             snapshot,
         };
         self.nodes[n].medium.start = start;
@@ -403,7 +403,7 @@
         if let Some(snapshot) = &ready.install {
             self.nodes[n].store = restore(snapshot);
         }
-        for entry in &ready.accepted {
+        for entry in &ready.committed {
             self.check_accepted(entry);
             let (answer, _) = self.nodes[n].store.apply(&entry.record);
             for wish in &mut self.wishes {
@@ -615,7 +615,7 @@
     where
         F: Fn(usize) -> bool,
     {
-        let disks: Vec<Disk> = self.nodes.iter().map(|n| n.medium.id).collect();
+        let disks: Vec<DiskId> = self.nodes.iter().map(|n| n.medium.id).collect();
         let newest = (self.nodes.iter())
             .filter_map(|n| n.core.as_ref())
             .max_by_key(|c| (c.term(), c.commit()));
@@ -754,8 +754,8 @@
     STORES.with(|s| s.borrow()[place].clone())
 }
 
-fn place(n: usize) -> Place {
-    Place {
+fn place(n: usize) -> Node {
+    Node {
         vm: Name::try_from(format!("c{n}")).unwrap(),
         address: format!("127.0.{}.{}:7001", n / 250, n % 250 + 1)
             .parse()
@@ -763,18 +763,18 @@
     }
 }
 
-fn persist(medium: &mut Medium, ready: &Ready, hard: coordination::agree::Hard) {
+fn persist(medium: &mut Medium, ready: &Ready, hard: coordination::consensus::Ballot) {
     let start = &mut medium.start;
     if let Some(snapshot) = &ready.install {
         start.snapshot = snapshot.clone();
         start.entries.clear();
-        start.hard = hard;
+        start.ballot = hard;
     }
-    if let Some(cut) = ready.cut {
+    if let Some(cut) = ready.truncate_from {
         start.entries.retain(|e| e.index < cut);
     }
     start.entries.extend(ready.append.iter().cloned());
-    if let Some(hard) = ready.hard {
-        start.hard = hard;
+    if let Some(hard) = ready.ballot {
+        start.ballot = hard;
     }
 }
--- a/components/coordination/tests/region/world.rs
+++ b/components/coordination/tests/region/world.rs
@@ -188,7 +188,7 @@
     }
 
     fn places(&self) -> Vec<Name> {
-        let places = self.view.assignments.iter().map(|a| a.place.vm.clone());
+        let places = self.view.assignments.iter().map(|a| a.node.vm.clone());
         places.collect()
     }
 
--- a/components/coordination/tests/restart.rs
+++ b/components/coordination/tests/restart.rs
@@ -6,19 +6,19 @@
 
 use coordination::ask::{Hello, Report, Seq, Verdict};
 use coordination::health::{EJECT_MS, FAILURES};
-use coordination::listing::Roster;
+use coordination::listing::Registry;
 use coordination::prompt::{Part, Prompt};
 use coordination::scheduler::{Effect, Scheduler, Session, GATHER_MS};
 use state::clock::Millis;
 use state::id::{EndpointId, Epoch};
-use state::listing::Listed;
+use state::listing::Entry;
 
 const A: EndpointId = EndpointId(1);
 const B: EndpointId = EndpointId(2);
 /// A part that many requests share, with its tokens.
 const SHARED: (u64, u32) = (7, 12_000);
 
-fn listed(born: u64, leaving: bool) -> Listed {
+fn listed(born: u64, leaving: bool) -> Entry {
     endpoints::listed("a", Some(born), leaving)
 }
 
@@ -59,12 +59,12 @@
     // what its earlier life knew.
     // Sequence: it leaves, ends, and starts again under its name.
     // Cause: endpoints that are known by their names alone.
-    let mut roster = Roster::default();
-    roster.read(Millis(0), vec![listed(1000, false)], 1);
-    let before = roster.listing().endpoints[0].id();
-    roster.read(Millis(500), vec![listed(1000, true)], 2);
-    roster.read(Millis(1000), vec![listed(2000, false)], 3);
-    let now = &roster.listing().endpoints;
+    let mut registry = Registry::default();
+    registry.apply_reading(Millis(0), vec![listed(1000, false)], 1);
+    let before = registry.listing().endpoints[0].id();
+    registry.apply_reading(Millis(500), vec![listed(1000, true)], 2);
+    registry.apply_reading(Millis(1000), vec![listed(2000, false)], 3);
+    let now = &registry.listing().endpoints;
     assert_eq!(now.len(), 1);
     assert_ne!(now[0].id(), before);
     assert!(!now[0].leaving, "its earlier life was leaving");
@@ -72,11 +72,11 @@
 
 #[test]
 fn an_older_page_does_not_bring_back_an_earlier_start() {
-    let mut roster = Roster::default();
-    roster.read(Millis(0), vec![listed(2000, false)], 1);
-    assert!(!roster.read(Millis(500), vec![listed(1000, false)], 2));
-    assert_eq!(roster.listing().endpoints[0].born, Some(2000));
-    assert!(!roster.read(
+    let mut registry = Registry::default();
+    registry.apply_reading(Millis(0), vec![listed(2000, false)], 1);
+    assert!(!registry.apply_reading(Millis(500), vec![listed(1000, false)], 2));
+    assert_eq!(registry.listing().endpoints[0].started_ms, Some(2000));
+    assert!(!registry.apply_reading(
         Millis(1000),
         vec![listed(1000, false), listed(2000, false)],
         3
--- a/components/coordination/tests/views/mod.rs
+++ b/components/coordination/tests/views/mod.rs
@@ -4,7 +4,7 @@
 
 use state::config::{Cost, Endpoint, Engine, Service};
 use state::id::{EndpointId, Epoch, Name, ServiceId};
-use state::view::{Assignment, Place, Shard, View};
+use state::view::{Assignment, Node, Shard, View};
 
 /// The service.
 pub(crate) const SERVICE: ServiceId = ServiceId(1);
@@ -13,8 +13,8 @@
     Name::try_from(text).unwrap()
 }
 
-pub(crate) fn place(vm: &str) -> Place {
-    Place {
+pub(crate) fn place(vm: &str) -> Node {
+    Node {
         vm: name(vm),
         address: "127.0.0.1:7001".parse().unwrap(),
     }
@@ -47,7 +47,7 @@
         data_centre: name(data_centre),
         region: name("main"),
         slots,
-        lead: 0,
+        prefetch: 0,
     };
     view.config.endpoints.insert(EndpointId(id), endpoint);
 }
@@ -60,7 +60,7 @@
     for (n, shard) in (0..).zip(shards) {
         view.assignments.push(Assignment {
             shard,
-            place: place(&format!("s-{n}")),
+            node: place(&format!("s-{n}")),
             epoch: Epoch(epoch + n),
         });
     }
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -3,21 +3,21 @@
 use crate::input::Input as ReactorInput;
 use crate::journal::Journal;
 use crate::metric::{value, Metrics};
-use coordination::agree::{Admission, Core, Index, Ready, Refusal, Role, Snapshot, Term};
 use coordination::assignment::{Assigner, Site};
+use coordination::consensus::{Admission, Core, Index, Ready, Refusal, Role, Snapshot, Term};
 use errors::{Error, Result};
 use protocol::codec;
 use protocol::wire::{Hello, Leaving, Message, Query, Reply};
 use serde::{Deserialize, Serialize};
 use state::clock::Millis;
 use state::delta::Delta;
-use state::event::{Event, Step};
+use state::event::{Event, Kind};
 use state::id::{Name, Version};
 use state::line::Line;
-use state::record::{Disk, Member, Record};
+use state::record::{DiskId, Member, Record};
 use state::store::{Document, Store};
 use state::suspect::Evidence;
-use state::view::{Departure, Place, Shard};
+use state::view::{Departure, Node, Shard};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -51,7 +51,7 @@
     /// The shards that have endpoints.
     Shards(BTreeSet<Shard>),
     /// The settings name other control VMs.
-    Seeds(Vec<Place>),
+    Seeds(Vec<Node>),
     /// End.
     Stop,
 }
@@ -85,9 +85,9 @@
 /// What the control role is given.
 pub(crate) struct Parts {
     /// This VM.
-    pub(crate) place: Place,
+    pub(crate) place: Node,
     /// Control VMs.
-    pub(crate) seeds: Vec<Place>,
+    pub(crate) seeds: Vec<Node>,
     /// Who may become a member.
     pub(crate) admission: Admission,
     /// Data folder.
@@ -115,9 +115,9 @@
     assignments: Assigner,
     shards: BTreeSet<Shard>,
     /// Members as the reactor was last told.
-    members: Vec<Place>,
+    members: Vec<Node>,
     /// Places of peers with a link, as they introduced themselves.
-    places: HashMap<Name, Place>,
+    places: HashMap<Name, Node>,
     /// Who waits for the entry of a term at an index to be applied.
     waiters: BTreeMap<Index, (Term, Name, u64)>,
     /// Entries whose assignments are not applied yet.
@@ -136,18 +136,21 @@
     ///
     /// When the disk cannot be read or is damaged.
     pub(crate) fn open(parts: Parts) -> Result<Self> {
-        let (mut folder, start) = Folder::open(&parts.data, Disk(rand::random()))?;
+        let (mut folder, start) = Folder::open(&parts.data, DiskId(rand::random()))?;
         folder.set_compact_bytes(parts.compact_bytes);
         let store = restore(&start.snapshot)?;
         let me = Member {
             disk: folder.identity(),
-            place: parts.place.clone(),
+            node: parts.place.clone(),
         };
         let mut core = Core::new(me, parts.seeds.clone(), start, parts.clock.now());
-        core.admit_by(match parts.admission {
+        core.set_admission(match parts.admission {
             Admission::Seeds => Admission::Seeds,
-            Admission::Open { begins, voters } => Admission::Open {
-                begins: folder.begins(begins)?,
+            Admission::Open {
+                may_bootstrap: begins,
+                voters,
+            } => Admission::Open {
+                may_bootstrap: folder.begins(begins)?,
                 voters,
             },
         });
@@ -210,7 +213,7 @@
             }
             Input::Down(vm) => {
                 self.places.remove(&vm);
-                self.assignments.lost(&vm);
+                self.assignments.remove(&vm);
             }
             Input::Message(vm, message) => self.message(now, &vm, message),
             // Whoever asked may have gone.
@@ -244,11 +247,11 @@
                 incarnation,
             } => {
                 let site = Site {
-                    place,
+                    node: place,
                     region,
                     data_centre,
                 };
-                self.assignments.heard(now, site, incarnation);
+                self.assignments.record_heartbeat(now, site, incarnation);
             }
             Message::Query(id, query) => self.query(now, vm, id, query),
             _ => {}
@@ -297,7 +300,7 @@
     /// The record that a query asks for, or why it is wrong.
     fn record(&self, query: Query) -> Result<Record, String> {
         match query {
-            Query::Head => Ok(Record::Blank),
+            Query::Head => Ok(Record::NoOp),
             Query::Claim {
                 key,
                 customer,
@@ -358,7 +361,7 @@
             self.to_reactor(ReactorInput::Leads(leads));
             self.note_role(leads);
             if leads {
-                self.assignments.begin(now);
+                self.assignments.reset(now);
             } else {
                 self.give_up_waiters();
             }
@@ -370,7 +373,7 @@
         for assignment in self.assignments.plan(now, &self.store.view, &self.shards) {
             tracing::info!(
                 event = Line::SchedulerAssigned.as_str(),
-                vm = %assignment.place.vm,
+                vm = %assignment.node.vm,
                 epoch = assignment.epoch.0,
                 service = self.store.view.config.service_name(assignment.shard.service),
                 region = %assignment.shard.region,
@@ -404,10 +407,10 @@
         let term = self.core.term().0;
         let step = if leads {
             tracing::info!(event = Line::LeaderBegan.as_str(), term);
-            Step::LeaderBegan
+            Kind::LeaderBegan
         } else {
             tracing::info!(event = Line::LeaderEnded.as_str(), term);
-            Step::LeaderEnded
+            Kind::LeaderEnded
         };
         self.parts
             .journal
@@ -430,7 +433,7 @@
                 break;
             }
             if ready.must_sync() {
-                let hard = self.core.hard();
+                let hard = self.core.ballot();
                 self.folder.write(&ready, hard)?;
                 let last = self.core.log().last();
                 self.core.synced(last);
@@ -448,15 +451,15 @@
     /// Reaches all members, whom the settings need not name.
     fn tell_members(&mut self) {
         let members = self.core.members();
-        let same = members.all().map(|m| &m.place).eq(self.members.iter());
+        let same = members.all().map(|m| &m.node).eq(self.members.iter());
         if same {
             return;
         }
-        self.members = members.all().map(|m| m.place.clone()).collect();
+        self.members = members.all().map(|m| m.node.clone()).collect();
         tracing::info!(
             event = Line::MembersChanged.as_str(),
-            voters = ?members.voters.iter().map(|m| m.place.vm.as_str()).collect::<Vec<_>>(),
-            learners = ?members.learners.iter().map(|m| m.place.vm.as_str()).collect::<Vec<_>>(),
+            voters = ?members.voters.iter().map(|m| m.node.vm.as_str()).collect::<Vec<_>>(),
+            learners = ?members.learners.iter().map(|m| m.node.vm.as_str()).collect::<Vec<_>>(),
         );
         self.to_reactor(ReactorInput::Members(self.members.clone()));
     }
@@ -470,7 +473,7 @@
             self.restored();
         }
         let mut steps = Vec::new();
-        for entry in ready.accepted {
+        for entry in ready.committed {
             let (answer, step) = self.store.apply(&entry.record);
             steps.extend(step);
             if let Some((term, vm, id)) = self.waiters.remove(&entry.index) {
@@ -504,8 +507,8 @@
             members: log.members_at(index).clone(),
             bytes: Arc::new(bytes),
         };
-        let tail = log.from(index.next(), usize::MAX);
-        self.folder.renew(&snapshot, self.core.hard(), &tail)?;
+        let tail = log.entries_from(index.next(), usize::MAX);
+        self.folder.renew(&snapshot, self.core.ballot(), &tail)?;
         self.core.compact(snapshot);
         Ok(())
     }
@@ -513,7 +516,7 @@
     /// Tells the reactor whether what it is fed from here is current.
     fn tell_fresh(&mut self) {
         let now = self.parts.clock.now();
-        let fresh = self.core.is_fresh(now);
+        let fresh = self.core.has_leader_contact(now);
         let due = fresh && now.since(self.fresh_at) >= FRESH_MS;
         if due || fresh != self.fresh {
             self.fresh = fresh;
@@ -551,7 +554,7 @@
     }
 
     fn status(&self) -> Status {
-        let names = |members: &[Member]| members.iter().map(|m| m.place.vm.clone()).collect();
+        let names = |members: &[Member]| members.iter().map(|m| m.node.vm.clone()).collect();
         let members = self.core.members();
         Status {
             role: format!("{:?}", self.core.role()).to_lowercase(),
--- a/components/node/src/dissemination.rs
+++ b/components/node/src/dissemination.rs
@@ -1,11 +1,11 @@
 //! The feed: how this process learns the view, and whom it feeds in turn.
 
-use coordination::tree::{Confirm, Tree, Welcome};
+use coordination::tree::{Attachment, Confirmation, Tree};
 use protocol::wire::{Hello, Message};
 use smallvec::SmallVec;
 use state::clock::Millis;
 use state::id::{Name, Version};
-use state::view::{Place, Step, Taken, View};
+use state::view::{Acceptance, Node, Step, View};
 use std::collections::{BTreeMap, VecDeque};
 use transport::link::Hub;
 
@@ -36,15 +36,15 @@
     /// It is fed by the control role of this process.
     Root { fresh: bool, pulse_at: Millis },
     /// It seeks a parent.
-    Seeking { asked: Option<Place>, since: Millis },
+    Seeking { asked: Option<Node>, since: Millis },
     /// It has a parent.
-    Child { parent: Place },
+    Child { parent: Node },
 }
 
 /// The feed of one process.
 pub(crate) struct Dissemination {
     me: Name,
-    seeds: Vec<Place>,
+    seeds: Vec<Node>,
     next_seed: usize,
     stand: Stand,
     tree: Tree,
@@ -60,7 +60,7 @@
     check_at: Millis,
     /// Whether the parent has answered a check.
     is_checked: bool,
-    confirmed: Option<Confirm>,
+    confirmed: Option<Confirmation>,
     version: Version,
     /// Routers below each other root, as it has told.
     subtrees: BTreeMap<Name, u32>,
@@ -73,13 +73,7 @@
 
 impl Dissemination {
     /// A feed that has nothing yet. `root` is for control VMs.
-    pub(crate) fn new(
-        me: Name,
-        seeds: Vec<Place>,
-        first: usize,
-        fanout: usize,
-        root: bool,
-    ) -> Self {
+    pub(crate) fn new(me: Name, seeds: Vec<Node>, first: usize, fanout: usize, root: bool) -> Self {
         let stand = if root {
             Stand::Root {
                 fresh: false,
@@ -144,14 +138,14 @@
     }
 
     /// Counts the routers of the fleet, at a root among others.
-    pub(crate) fn count_routers(&mut self, hub: &Hub, roots: &[Place]) {
+    pub(crate) fn count_routers(&mut self, hub: &Hub, roots: &[Node]) {
         if !self.is_root() {
             return;
         }
         let others = || roots.iter().filter(|p| p.vm != self.me);
         self.subtrees
             .retain(|vm, _| roots.iter().any(|p| p.vm == *vm));
-        let own = self.tree.total(None).routers;
+        let own = self.tree.aggregate(None).routers;
         let sum = own + self.subtrees.values().sum::<u32>();
         if own != self.told_subtree {
             for root in others() {
@@ -168,7 +162,7 @@
     }
 
     /// Changes the places where a parent is sought first.
-    pub(crate) fn set_seeds(&mut self, seeds: Vec<Place>) {
+    pub(crate) fn set_seeds(&mut self, seeds: Vec<Node>) {
         self.seeds = seeds;
     }
 
@@ -228,8 +222,8 @@
     }
 
     /// What this process and all below it have confirmed.
-    pub(crate) fn total(&self, version: Version) -> Confirm {
-        self.tree.total(Some((&self.me, version)))
+    pub(crate) fn total(&self, version: Version) -> Confirmation {
+        self.tree.aggregate(Some((&self.me, version)))
     }
 
     /// Notes whether the control role here follows a living leader. When it
@@ -246,7 +240,7 @@
         let children: Vec<Name> = self.tree.children().cloned().collect();
         for child in children {
             self.send_away(hub, &child);
-            self.tree.lost(&child);
+            self.tree.detach(&child);
         }
     }
 
@@ -260,10 +254,10 @@
     ) -> bool {
         let mut news: SmallVec<[Step; 1]> = SmallVec::new();
         for step in steps {
-            match view.take(step) {
-                Taken::InForce => news.push(step.clone()),
-                Taken::Old => {}
-                Taken::Gap => {
+            match view.apply_step(step) {
+                Acceptance::Applied => news.push(step.clone()),
+                Acceptance::Stale => {}
+                Acceptance::Gap => {
                     if let Some(vm) = from {
                         hub.send(vm, Message::Subscribe(view.version));
                     }
@@ -340,7 +334,7 @@
             hub.send(&vm, Message::Elsewhere(nearer));
             return false;
         }
-        if let Welcome::Elsewhere(other) = self.tree.welcome(place, &data_centre, version) {
+        if let Attachment::Redirect(other) = self.tree.attach(place, &data_centre, version) {
             hub.send(&vm, Message::Elsewhere(other));
             return false;
         }
@@ -363,7 +357,7 @@
 
     /// A control VM in the data centre of a node that wants to be fed by this one, which is
     /// elsewhere; `None` for one that was sent there a moment ago.
-    fn nearer(&mut self, now: Millis, hub: &Hub, vm: &Name, data_centre: &Name) -> Option<Place> {
+    fn nearer(&mut self, now: Millis, hub: &Hub, vm: &Name, data_centre: &Name) -> Option<Node> {
         let is_far = self.is_root() && hub.hello().data_centre != *data_centre;
         if !is_far || self.feeds(vm) {
             return None;
@@ -395,16 +389,16 @@
 
     /// Forgets a child that another node feeds.
     pub(crate) fn unsubscribe(&mut self, vm: &Name) {
-        self.tree.lost(vm);
+        self.tree.detach(vm);
     }
 
     /// Takes a child's confirmation.
-    pub(crate) fn confirm(&mut self, vm: &Name, confirm: Confirm) {
+    pub(crate) fn confirm(&mut self, vm: &Name, confirm: Confirmation) {
         self.tree.confirm(vm, confirm);
     }
 
     /// Is told to ask another node.
-    pub(crate) fn elsewhere(&mut self, now: Millis, hub: &Hub, from: &Name, place: Place) {
+    pub(crate) fn elsewhere(&mut self, now: Millis, hub: &Hub, from: &Name, place: Node) {
         let asked = match &self.stand {
             Stand::Root { .. } => return,
             Stand::Seeking { asked, .. } => asked.as_ref(),
@@ -430,7 +424,7 @@
 
     /// Notes that a link was lost.
     pub(crate) fn link_down(&mut self, now: Millis, vm: &Name) {
-        self.tree.lost(vm);
+        self.tree.detach(vm);
         if matches!(&self.stand, Stand::Child { parent } if parent.vm == *vm) {
             self.stand = Stand::Seeking {
                 asked: None,
@@ -520,7 +514,7 @@
     }
 
     fn seek_seed(&mut self, now: Millis, hub: &Hub) {
-        let others: Vec<&Place> = self.seeds.iter().filter(|s| s.vm != self.me).collect();
+        let others: Vec<&Node> = self.seeds.iter().filter(|s| s.vm != self.me).collect();
         if others.is_empty() {
             return;
         }
@@ -529,7 +523,7 @@
         self.seek(now, hub, place);
     }
 
-    fn seek(&mut self, now: Millis, hub: &Hub, place: Place) {
+    fn seek(&mut self, now: Millis, hub: &Hub, place: Node) {
         hub.dial(&place);
         if hub.is_up(&place.vm) {
             hub.send(&place.vm, Message::Subscribe(self.version));
@@ -541,7 +535,7 @@
     }
 
     fn send_away(&mut self, hub: &Hub, vm: &Name) {
-        if let Some(other) = self.tree.send_away(&self.seeds, &self.me, vm) {
+        if let Some(other) = self.tree.redirect(&self.seeds, &self.me, vm) {
             hub.send(vm, Message::Elsewhere(other));
         }
     }
--- a/components/node/src/evacuation.rs
+++ b/components/node/src/evacuation.rs
@@ -84,6 +84,9 @@
         let view = &self.published.borrow().view;
         self.named.contains(data_centre)
             || view.evacuations.contains_key(data_centre)
-            || view.counts().iter().any(|c| c.data_centre == *data_centre)
+            || view
+                .endpoint_counts()
+                .iter()
+                .any(|c| c.data_centre == *data_centre)
     }
 }
--- a/components/node/src/front/claim.rs
+++ b/components/node/src/front/claim.rs
@@ -9,10 +9,10 @@
 use http_body_util::Full;
 use hyper::{Response, StatusCode};
 use protocol::wire::{Query, Reply};
-use state::event::{Event, Step};
+use state::event::{Event, Kind};
 use state::id::{CustomerId, RequestId};
 use state::outcome::Outcome;
-use state::record::{Answer, Known, Stored};
+use state::record::{Answer, Resolution, Stored};
 use state::secret::Hash;
 use std::sync::Arc;
 use std::time::Duration;
@@ -77,12 +77,12 @@
     let (sender, mut receiver) = oneshot::channel();
     let _ = front.parts.reactor.send(Input::Query(query, sender));
     match tokio::time::timeout(wait, &mut receiver).await {
-        Ok(Ok(Reply::Answer(Answer::Fresh))) => {
-            let event = Event::new(Step::Claimed).request(call.id);
+        Ok(Ok(Reply::Answer(Answer::Claimed))) => {
+            let event = Event::new(Kind::Claimed).request(call.id);
             front.parts.journal.note(event.customer(customer));
             Ok(Claimed::Ours(claim))
         }
-        Ok(Ok(Reply::Answer(Answer::Taken(first, known)))) => {
+        Ok(Ok(Reply::Answer(Answer::AlreadyClaimed(first, known)))) => {
             claim.settled = true;
             if first != fingerprint {
                 let text = "this Idempotency-Key was used for another request";
@@ -109,16 +109,16 @@
 }
 
 /// What a resend is told of the first request.
-fn earlier(id: RequestId, known: Known) -> Result<Claimed, Refusal> {
+fn earlier(id: RequestId, known: Resolution) -> Result<Claimed, Refusal> {
     let conflict =
         |text: &str| Refusal::unknown(StatusCode::CONFLICT, "idempotency-key-taken", text).after(1);
     match known {
-        Known::Open => Err(conflict("the first request with this key has not ended")),
-        Known::Unknown => Err(conflict("whether the first request has run is not known")),
-        Known::Answered(Stored { body: None, .. }) => Err(conflict(
+        Resolution::Pending => Err(conflict("the first request with this key has not ended")),
+        Resolution::Unknown => Err(conflict("whether the first request has run is not known")),
+        Resolution::Answered(Stored { body: None, .. }) => Err(conflict(
             "the first request was answered; its answer was too long to keep",
         )),
-        Known::Answered(Stored {
+        Resolution::Answered(Stored {
             status,
             content_type,
             body: Some(body),
@@ -156,7 +156,7 @@
         tokio::spawn(async move {
             if let Ok(body) = ended.await {
                 self.settled = true;
-                self.settle(Some(Known::Answered(Stored {
+                self.settle(Some(Resolution::Answered(Stored {
                     status,
                     content_type,
                     body,
@@ -165,7 +165,7 @@
         });
     }
 
-    fn settle(&self, known: Option<Known>) {
+    fn settle(&self, known: Option<Resolution>) {
         let query = Query::Settle {
             key: self.key,
             request: self.request,
@@ -181,7 +181,7 @@
 impl Drop for Claim {
     fn drop(&mut self) {
         if !self.settled {
-            self.settle(self.sent.then_some(Known::Unknown));
+            self.settle(self.sent.then_some(Resolution::Unknown));
         }
     }
 }
--- a/components/node/src/front/delivery.rs
+++ b/components/node/src/front/delivery.rs
@@ -9,7 +9,7 @@
 use state::clock::Stamp;
 use state::fingerprint::Fingerprint;
 use state::id::CustomerId;
-use state::suspect::{Clearance, Crash, Successes};
+use state::suspect::{Completion, Crash, Successes};
 use std::sync::{Arc, MutexGuard, PoisonError};
 
 /// A delivery that is under way.
@@ -39,7 +39,7 @@
             sent: self.sent,
             at: self.front.parts.clock.stamp(),
         };
-        if self.front.successes().exonerate(&crash) {
+        if self.front.successes().rules_out(&crash) {
             return;
         }
         // The reactor ends only together with this process.
@@ -48,11 +48,11 @@
 
     /// Its endpoint has answered whole, and not that it failed.
     pub(crate) fn answered(&self) {
-        let clearance = Clearance {
+        let clearance = Completion {
             fingerprint: self.fingerprint,
             at: self.front.parts.clock.stamp(),
         };
-        self.front.successes().answered(&clearance);
+        self.front.successes().record(&clearance);
         if !self.front.parts.verdicts.borrow().knows(&self.fingerprint) {
             return;
         }
--- a/components/node/src/front/plan.rs
+++ b/components/node/src/front/plan.rs
@@ -74,7 +74,7 @@
     if known.is_some() {
         check_proof(front, published)?;
     }
-    let service = send.service(rand::random()).ok_or_else(no_endpoint)?;
+    let service = send.pick_service(rand::random()).ok_or_else(no_endpoint)?;
     if let Some((_, customer)) = known {
         check_service(customer, service)?;
         call.customer = Some(customer.name.clone());
--- a/components/node/src/front/relay.rs
+++ b/components/node/src/front/relay.rs
@@ -14,7 +14,7 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::StatusCode;
 use state::config::{Cost, Engine};
-use state::event::{Event, Step};
+use state::event::{Event, Kind};
 use state::id::RequestId;
 use std::future::Future;
 use std::pin::Pin;
@@ -53,8 +53,8 @@
             return;
         }
         let step = match self.verdict {
-            Verdict::Gone => Step::CallerGone,
-            Verdict::Fine | Verdict::Failed | Verdict::Error => Step::Ended,
+            Verdict::Gone => Kind::CallerGone,
+            Verdict::Fine | Verdict::Failed | Verdict::Error => Kind::Ended,
         };
         self.journal.note(Event::new(step).request(self.id));
         let done = Input::Done(self.handle, self.cost.units(), self.verdict);
--- a/components/node/src/front/serve.rs
+++ b/components/node/src/front/serve.rs
@@ -20,7 +20,7 @@
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONNECTION, CONTENT_TYPE};
 use hyper::{Request, Response, StatusCode};
-use state::event::{Event, Step};
+use state::event::{Event, Kind};
 use state::id::RequestId;
 use state::outcome::Outcome;
 use std::sync::atomic::Ordering;
@@ -78,7 +78,7 @@
         Err(refusal) => {
             count(&front, refusal.outcome, refusal.status);
             if front.tells(&refusal) {
-                let event = Event::new(Step::Refused).request(id);
+                let event = Event::new(Kind::Refused).request(id);
                 front.parts.journal.note(event);
                 note.refused(&refusal);
             } else {
@@ -140,11 +140,11 @@
     front
         .parts
         .journal
-        .note(Event::new(Step::Taken).request(id));
+        .note(Event::new(Kind::Taken).request(id));
     let mut call = read(front, id, asked.identity.clone(), head, body).await?;
     let plan = plan(front, published, &asked, &mut call)?;
     note.plan(&plan, call.customer.clone());
-    let event = Event::new(Step::Taken).request(id);
+    let event = Event::new(Kind::Taken).request(id);
     front.parts.journal.note(event.customer(plan.customer));
     let key = call.headers.get("idempotency-key").cloned();
     let mut claimed = None;
@@ -171,7 +171,7 @@
 impl Drop for Waiting {
     fn drop(&mut self) {
         if let Some(handle) = self.handle {
-            let event = Event::new(Step::CallerGone).request(self.id);
+            let event = Event::new(Kind::CallerGone).request(self.id);
             self.front.parts.journal.note(event);
             let _ = self.front.parts.reactor.send(Input::Leave(handle));
         }
@@ -296,9 +296,9 @@
     let step = if retries == 0 {
         let waited = began.elapsed().as_secs_f64();
         front.parts.metrics.wait.observe(waited);
-        Step::Sent
+        Kind::Sent
     } else {
-        Step::Retried
+        Kind::Retried
     };
     let event = Event::new(step).request(call.id).service(plan.service);
     front.parts.journal.note(event.endpoint(dispatch.endpoint));
@@ -372,7 +372,7 @@
     front
         .parts
         .journal
-        .note(Event::new(Step::Queued).request(call.id));
+        .note(Event::new(Kind::Queued).request(call.id));
     let decision = tokio::select! {
         biased;
         () = front.until_quarantined(call) => return Err(quarantined()),
@@ -381,7 +381,7 @@
     waiting.handle = None;
     match decision {
         Ok(Decision::Dispatch(dispatch)) => {
-            let event = Event::new(Step::Granted).request(call.id);
+            let event = Event::new(Kind::Granted).request(call.id);
             front.parts.journal.note(event.endpoint(dispatch.endpoint));
             Ok(dispatch)
         }
--- a/components/node/src/input.rs
+++ b/components/node/src/input.rs
@@ -8,9 +8,9 @@
 use protocol::wire::{Query, Reply};
 use state::clock::Millis;
 use state::id::{EndpointId, Name};
-use state::listing::Listed;
-use state::suspect::{Clearance, Crash};
-use state::view::{Place, Step, View};
+use state::listing::Entry;
+use state::suspect::{Completion, Crash};
+use state::view::{Node, Step, View};
 use std::net::SocketAddr;
 use tokio::sync::oneshot;
 use transport::link;
@@ -52,7 +52,7 @@
     /// When it began.
     pub(crate) began: Millis,
     /// The entries.
-    pub(crate) endpoints: Vec<Listed>,
+    pub(crate) endpoints: Vec<Entry>,
     /// Whether it has all pages.
     pub(crate) is_whole: bool,
 }
@@ -90,7 +90,7 @@
     /// An endpoint broke off a request.
     Crashed(Crash),
     /// An endpoint has answered a suspected request whole.
-    Cleared(Clearance),
+    Cleared(Completion),
     /// Something for the control VMs.
     Query(Query, oneshot::Sender<Reply>),
     /// An endpoint reported its load.
@@ -105,9 +105,9 @@
     Leads(bool),
     /// The control VMs, voting or not, as the control role of this process knows
     /// them.
-    Members(Vec<Place>),
+    Members(Vec<Node>),
     /// The settings name other control VMs.
-    Seeds(Vec<Place>),
+    Seeds(Vec<Node>),
     /// Is this process to read the platform's list of endpoints now? Answered with the time.
     ListingDue(oneshot::Sender<Option<Millis>>),
     /// What it has read.
--- a/components/node/src/interface.rs
+++ b/components/node/src/interface.rs
@@ -9,7 +9,7 @@
 use hyper::http::{request, response};
 use hyper::StatusCode;
 use state::id::Name;
-use state::listing::Listed;
+use state::listing::Entry;
 use state::outcome::Outcome;
 use state::record::Release;
 use state::secret::Hash;
@@ -84,7 +84,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Page {
     /// Endpoints of the page.
-    pub endpoints: Vec<Listed>,
+    pub endpoints: Vec<Entry>,
     /// Path of the next page.
     pub next: Option<String>,
     /// Entries that name no endpoint to use, since they cannot be read.
@@ -235,9 +235,9 @@
         next: Option<String>,
     }
     let read: Lines = serde_json::from_slice(page).map_err(|e| e.to_string())?;
-    let endpoints = read.endpoints.into_iter().map(|line| Listed {
+    let endpoints = read.endpoints.into_iter().map(|line| Entry {
         leaving: line.leaving,
-        born: line.born,
+        started_ms: line.born,
         cold_ms: line.cold_ms,
         endpoint: state::config::Endpoint {
             region: region(regions, &line.data_centre),
@@ -246,7 +246,7 @@
             address: line.address,
             data_centre: line.data_centre,
             slots: line.slots,
-            lead: 0,
+            prefetch: 0,
         },
     });
     Ok(Page {
--- a/components/node/src/listing.rs
+++ b/components/node/src/listing.rs
@@ -7,7 +7,7 @@
 use errors::{Error, Result};
 use state::id::Name;
 use state::line::Line;
-use state::listing::Listed;
+use state::listing::Entry;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -109,7 +109,7 @@
 /// What was read of the list.
 #[derive(Default)]
 struct Part {
-    endpoints: Vec<Listed>,
+    endpoints: Vec<Entry>,
     unreadable: usize,
     pages: usize,
 }
--- a/components/node/src/operators.rs
+++ b/components/node/src/operators.rs
@@ -18,7 +18,7 @@
 use state::id::{Name, Version};
 use state::record::{Answer, ChangeId};
 use state::secret::Hash;
-use state::suspect::{Clearance, Evidence};
+use state::suspect::{Completion, Evidence};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -264,7 +264,7 @@
             return error(StatusCode::BAD_REQUEST, &reason);
         }
     };
-    let clearance = Clearance {
+    let clearance = Completion {
         fingerprint,
         at: parts.clock.stamp(),
     };
--- a/components/node/src/process.rs
+++ b/components/node/src/process.rs
@@ -12,8 +12,8 @@
 use crate::shared::{raised, Published, Shared, Status};
 use crate::vitals::Lateness;
 use crate::{http, inventory, listing, platform, poll, readiness, releases, vitals};
-use coordination::agree::Admission;
 use coordination::budget::{Budget, Vm};
+use coordination::consensus::Admission;
 use coordination::dispatcher::{Bounds, Home};
 use coordination::retry;
 use errors::{Error, Result};
@@ -21,7 +21,7 @@
 use settings::{Peers, Settings};
 use state::id::Name;
 use state::line::Line;
-use state::view::Place;
+use state::view::Node;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -210,7 +210,7 @@
     settings: Settings,
     interface: Interface,
     socket: Socket,
-    place: Place,
+    place: Node,
     incarnation: u64,
     clock: Clock,
     journal: Journal,
@@ -222,7 +222,7 @@
         let address = socket.address()?;
         let clock = Clock::default();
         Ok(Starter {
-            place: Place {
+            place: Node {
                 vm: settings.vm.name.clone(),
                 address,
             },
@@ -237,8 +237,8 @@
     }
 
     /// Control VMs, with this one's own port where the settings left it open.
-    fn seeds(&self) -> Vec<Place> {
-        let mut seeds: Vec<Place> = self.settings.peers.places().to_vec();
+    fn seeds(&self) -> Vec<Node> {
+        let mut seeds: Vec<Node> = self.settings.peers.places().to_vec();
         for seed in &mut seeds {
             if seed.vm == self.place.vm && seed.address.port() == 0 {
                 seed.address = self.place.address;
@@ -512,7 +512,7 @@
     match peers {
         Peers::Named(_) => Admission::Seeds,
         Peers::Seeds(seeds) => Admission::Open {
-            begins: control.begins,
+            may_bootstrap: control.begins,
             // Seeds are three at most, where more may be lost than three voters bear.
             voters: seeds.len().max(control.voters()),
         },
--- a/components/node/src/quarantine.rs
+++ b/components/node/src/quarantine.rs
@@ -7,7 +7,7 @@
 use state::fingerprint::Fingerprint;
 use state::id::Name;
 use state::line::Line;
-use state::suspect::{relieved, Clearance, Crash, Evidence, Standing, Standings, Suspects};
+use state::suspect::{downgraded, Completion, Crash, Evidence, Status, Statuses, Suspects};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use tokio::sync::{oneshot, watch};
@@ -26,8 +26,8 @@
 /// What the callers' side is to do with requests, by the fleet and by this router alone.
 #[derive(Debug, Default)]
 pub(crate) struct Verdicts {
-    fleet: Standings,
-    own: Standings,
+    fleet: Statuses,
+    own: Statuses,
 }
 
 impl Verdicts {
@@ -45,7 +45,7 @@
     pub(crate) fn is_quarantined(&self, fingerprint: &Fingerprint) -> bool {
         let of = [&self.fleet, &self.own];
         let mut found = of.iter().filter_map(|all| all.get(fingerprint));
-        found.any(|standing| *standing == Standing::Quarantined)
+        found.any(|standing| *standing == Status::Quarantined)
     }
 }
 
@@ -66,7 +66,7 @@
 /// stops what it has itself seen crash endpoints.
 pub(crate) struct Quarantine {
     own: Suspects,
-    fleet: Standings,
+    fleet: Statuses,
     /// What is to be reported, also of those that this process feeds.
     pending: Evidence,
     report_at: Millis,
@@ -80,7 +80,7 @@
     pub(crate) fn new(publish: watch::Sender<Arc<Verdicts>>) -> Self {
         Quarantine {
             own: Suspects::default(),
-            fleet: Standings::new(),
+            fleet: Statuses::new(),
             pending: Evidence::default(),
             report_at: Millis(0),
             report: None,
@@ -91,7 +91,7 @@
 
     /// An endpoint broke off a request.
     pub(crate) fn crashed(&mut self, crash: Crash) {
-        self.own.crashed(&crash);
+        self.own.record_crash(&crash);
         let crashes = vec![crash];
         self.relay(Evidence {
             crashes,
@@ -101,9 +101,9 @@
     }
 
     /// An endpoint has answered a suspected request whole.
-    pub(crate) fn cleared(&mut self, clearance: Clearance) {
-        self.own.cleared(&clearance);
-        let is_other = |c: &Clearance| c.fingerprint != clearance.fingerprint;
+    pub(crate) fn cleared(&mut self, clearance: Completion) {
+        self.own.record_completion(&clearance);
+        let is_other = |c: &Completion| c.fingerprint != clearance.fingerprint;
         self.pending.cleared.retain(is_other);
         let cleared = vec![clearance];
         self.relay(Evidence {
@@ -119,11 +119,11 @@
     }
 
     /// Follows what the control VMs have decided.
-    pub(crate) fn follow(&mut self, fleet: &Standings) {
+    pub(crate) fn follow(&mut self, fleet: &Statuses) {
         if *fleet == self.fleet {
             return;
         }
-        for fingerprint in relieved(&self.fleet, fleet) {
+        for fingerprint in downgraded(&self.fleet, fleet) {
             self.own.forget(&fingerprint);
         }
         self.fleet.clone_from(fleet);
@@ -177,7 +177,7 @@
     fn publish(&self) {
         let verdicts = Verdicts {
             fleet: self.fleet.clone(),
-            own: self.own.standings(1),
+            own: self.own.statuses(1),
         };
         self.publish.send_if_modified(|published| {
             let is_same = published.fleet == verdicts.fleet && published.own == verdicts.own;
--- a/components/node/src/query.rs
+++ b/components/node/src/query.rs
@@ -3,7 +3,7 @@
 use protocol::wire::{Message, Query, Reply};
 use state::clock::Millis;
 use state::id::Name;
-use state::view::Place;
+use state::view::Node;
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
 use transport::link::Hub;
@@ -27,7 +27,7 @@
 
 /// Queries that wait for an answer.
 pub(crate) struct Queries {
-    seeds: Vec<Place>,
+    seeds: Vec<Node>,
     open: BTreeMap<u64, Open>,
     next: u64,
     target: usize,
@@ -41,7 +41,7 @@
 
 impl Queries {
     /// No queries yet.
-    pub(crate) fn new(seeds: Vec<Place>, first: usize, keep: bool) -> Self {
+    pub(crate) fn new(seeds: Vec<Node>, first: usize, keep: bool) -> Self {
         let target = first % seeds.len().max(1);
         Queries {
             seeds,
@@ -56,7 +56,7 @@
     }
 
     /// Changes the control VMs that are asked.
-    pub(crate) fn set_seeds(&mut self, seeds: Vec<Place>) {
+    pub(crate) fn set_seeds(&mut self, seeds: Vec<Node>) {
         let asked = self.seeds.get(self.target).cloned();
         self.target = asked
             .and_then(|asked| seeds.iter().position(|s| *s == asked))
--- a/components/node/src/reactor/dependency.rs
+++ b/components/node/src/reactor/dependency.rs
@@ -29,7 +29,7 @@
                 let assignment = self.live.assignment(shard).filter(|_| up);
                 (
                     shard.clone(),
-                    assignment.map(|a| (a.place.vm.clone(), a.epoch)),
+                    assignment.map(|a| (a.node.vm.clone(), a.epoch)),
                 )
             })
             .collect();
--- a/components/node/src/reactor/listing.rs
+++ b/components/node/src/reactor/listing.rs
@@ -17,14 +17,16 @@
         let reader = if self.leads {
             Reader::Leader
         } else if self.parts.control {
-            let is_led = self.is_led;
-            Reader::Control { is_led }
+            let follows_leader = self.is_led;
+            Reader::Control { follows_leader }
         } else {
             Reader::Router(self.dissemination.size())
         };
         let lot = self.parts.hub.hello().incarnation;
-        let patience = self.roster.patience_ms(reader, self.parts.listing_ms, lot);
-        patience.is_some_and(|ms| self.roster.is_due(now, ms))
+        let patience = self
+            .registry
+            .read_delay_ms(reader, self.parts.listing_ms, lot);
+        patience.is_some_and(|ms| self.registry.is_due(now, ms))
     }
 
     /// Takes what this process has read of the list.
@@ -35,8 +37,10 @@
         }
         let draw = rand::random();
         let changed = match reading.is_whole {
-            true => self.roster.read(now, reading.endpoints, draw),
-            false => self.roster.read_part(now, reading.endpoints, draw),
+            true => self.registry.apply_reading(now, reading.endpoints, draw),
+            false => self
+                .registry
+                .apply_partial_reading(now, reading.endpoints, draw),
         };
         self.listed(now, changed, None);
     }
@@ -44,10 +48,10 @@
     /// Takes news of the list from another process.
     pub(super) fn take_listing(&mut self, now: Millis, vm: &Name, message: Message) {
         let news = match message {
-            Message::Listing(listing) => Some(self.roster.take(now, *listing)),
-            Message::Census(census) => Some(self.roster.take_census(now, *census)),
-            Message::ListingChange(change) => self.roster.follow(now, &change),
-            Message::ListingKept(id) => self.roster.confirm(now, id).then_some(false),
+            Message::Listing(listing) => Some(self.registry.apply_listing(now, *listing)),
+            Message::Census(census) => Some(self.registry.apply_census(now, *census)),
+            Message::ListingChange(change) => self.registry.apply_change(now, &change),
+            Message::ListingKept(id) => self.registry.confirm(now, id).then_some(false),
             _ => return,
         };
         let Some(is_news) = news else {
@@ -62,13 +66,13 @@
     fn listed(&mut self, now: Millis, changed: bool, from: Option<&Name>) {
         if changed {
             self.tell_endpoints(from);
-            self.catalogue.follow(now, self.roster.change());
+            self.catalogue.apply_change(now, self.registry.change());
             self.follow_live(now);
         }
         let is_other = |vm: &&Name| Some(*vm) != from && **vm != self.me;
         let whole = || match changed {
-            true => Message::ListingChange(Box::new(self.roster.told_change(now))),
-            false => Message::ListingKept(self.roster.listing().id),
+            true => Message::ListingChange(Box::new(self.registry.export_change(now))),
+            false => Message::ListingKept(self.registry.listing().id),
         };
         if from.is_none() && self.parts.control {
             let news = whole();
@@ -76,12 +80,12 @@
                 self.parts.hub.send(vm, news.clone());
             }
         }
-        let news = match self.roster.census() {
+        let news = match self.registry.census() {
             None => whole(),
             Some(census) if census.id == self.told_census => Message::ListingKept(census.id),
             Some(census) => Message::Census(Box::new(census.clone())),
         };
-        self.told_census = self.roster.census().map_or(0, |census| census.id);
+        self.told_census = self.registry.census().map_or(0, |census| census.id);
         for vm in self.dissemination.children().filter(is_other) {
             self.parts.hub.send(vm, news.clone());
         }
@@ -89,18 +93,18 @@
 
     /// Logs which endpoints have come, leave or have gone.
     fn tell_endpoints(&self, from: Option<&Name>) {
-        let change = self.roster.change();
+        let change = self.registry.change();
         let names = |leaving: bool| {
             let found = change.set.iter().filter(|l| l.leaving == leaving);
             joined(found.map(|l| &l.endpoint.name))
         };
-        let census = self.roster.census();
+        let census = self.registry.census();
         let counts = census.map(|c| c.counts.iter().map(|count| count.all).sum());
         // CAST: endpoints are far below 2^32.
-        let held = self.roster.listing().endpoints.len() as u32;
+        let held = self.registry.listing().endpoints.len() as u32;
         tracing::info!(
             event = Line::EndpointsChanged.as_str(),
-            listing = self.roster.listing().id,
+            listing = self.registry.listing().id,
             endpoints = counts.unwrap_or(held),
             come = names(false),
             leave = names(true),
@@ -112,10 +116,10 @@
     /// Tells a node that is fed from here, or a control VM, what is known of the list.
     pub(super) fn send_listing(&self, now: Millis, vm: &Name) {
         let is_member = self.members.iter().any(|p| p.vm == *vm);
-        let message = match self.roster.census() {
+        let message = match self.registry.census() {
             Some(census) if !is_member => Message::Census(Box::new(census.clone())),
-            _ if self.roster.listing().endpoints.is_empty() => return,
-            _ => Message::Listing(Box::new(self.roster.told(now))),
+            _ if self.registry.listing().endpoints.is_empty() => return,
+            _ => Message::Listing(Box::new(self.registry.export(now))),
         };
         self.parts.hub.send(vm, message);
     }
--- a/components/node/src/reactor/mod.rs
+++ b/components/node/src/reactor/mod.rs
@@ -18,18 +18,18 @@
 use crate::shared::Published;
 use coordination::backoff::Backoff;
 use coordination::candidacy::Candidacy;
-use coordination::cell::{Catalogue, Cells};
+use coordination::cell::{Catalogue, Poller};
 use coordination::dispatcher::{Bounds, Dispatcher, Effect, Effects, Handle, Home};
-use coordination::listing::Roster;
+use coordination::listing::Registry;
 use coordination::recent::Recent;
 use coordination::returns::Returns;
 use protocol::wire::{Message, Reply};
 use state::clock::Millis;
 use state::config::{Endpoint, Index};
-use state::event::{Event, Step};
+use state::event::{Event, Kind};
 use state::id::{EndpointId, Name, Version};
 use state::line::Line;
-use state::view::{Assignment, Place, View};
+use state::view::{Assignment, Node, View};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
@@ -57,7 +57,7 @@
     /// Metrics.
     pub(crate) metrics: Metrics,
     /// Control VMs that the settings name.
-    pub(crate) seeds: Vec<Place>,
+    pub(crate) seeds: Vec<Node>,
     /// Time between two readings of the platform's list of endpoints, in
     /// milliseconds.
     pub(crate) listing_ms: u64,
@@ -92,7 +92,7 @@
     /// That and the platform's endpoints, with its look-ups: what decides.
     live: Arc<View>,
     index: Arc<Index>,
-    roster: Roster,
+    registry: Registry,
     /// When another process told of the list last.
     listing_heard: Option<Millis>,
     /// Number of the counts that children were told last.
@@ -100,7 +100,7 @@
     /// Endpoints by shard, for schedulers that ask.
     catalogue: Catalogue,
     /// Endpoints of the shards that are scheduled here.
-    cells: Cells,
+    cells: Poller,
     /// Endpoints that this router was granted of late.
     recent: Recent,
     /// Whether `live` has some of these.
@@ -110,7 +110,7 @@
     /// Data centres whose evacuation has ended.
     returns: Returns,
     /// Control VMs as the control role of this process knows them.
-    members: Vec<Place>,
+    members: Vec<Node>,
     leads: bool,
     /// Whether the control role here follows a living leader.
     is_led: bool,
@@ -181,11 +181,11 @@
             view: View::default(),
             live: Arc::default(),
             index: Arc::default(),
-            roster: Roster::default(),
+            registry: Registry::default(),
             listing_heard: None,
             told_census: 0,
             catalogue: Catalogue::new(hello.incarnation),
-            cells: Cells::default(),
+            cells: Poller::default(),
             recent: Recent::default(),
             is_recent_used: false,
             shards: 0,
@@ -367,7 +367,7 @@
         match event {
             link::Event::Up(hello) => {
                 let vm = &hello.place.vm;
-                self.parts.journal.note(Event::new(Step::LinkUp).peer(vm));
+                self.parts.journal.note(Event::new(Kind::LinkUp).peer(vm));
                 self.dissemination
                     .link_up(&self.parts.hub, vm, self.view.version);
                 self.to_control(crate::control::Input::Up(hello.clone()));
@@ -377,7 +377,7 @@
             link::Event::Down(vm) => {
                 self.parts
                     .journal
-                    .note(Event::new(Step::LinkDown).peer(&vm));
+                    .note(Event::new(Kind::LinkDown).peer(&vm));
                 self.dissemination.link_down(now, &vm);
                 self.schedulers.link_down(now, &vm);
                 self.dispatcher.link_down(now, &vm);
@@ -459,7 +459,7 @@
             Message::ListingWanted => self.send_listing(now, &vm),
             Message::CellWanted(shard, known) => self.tell_cell(now, &vm, shard, known),
             Message::Cell(shard, answer) => {
-                if self.cells.take(now, &shard, *answer) {
+                if self.cells.apply_answer(now, &shard, *answer) {
                     self.follow_live(now);
                 }
             }
@@ -510,7 +510,7 @@
         self.index = Arc::new(Index::from(&self.view.config));
         self.parts
             .journal
-            .note(Event::new(Step::VersionInForce).version(version));
+            .note(Event::new(Kind::VersionInForce).version(version));
         tracing::info!(
             event = Line::VersionInForce.as_str(),
             version = version.0,
@@ -533,16 +533,16 @@
     /// those of the shards that are scheduled here and, while a scheduler is lost, those that
     /// it has granted of late.
     fn live_view(&mut self, now: Millis) -> View {
-        let Some(census) = self.roster.census() else {
-            let mut live = self.view.with_listing(self.roster.listing());
-            live.warm_at = self.roster.warm_at().clone();
+        let Some(census) = self.registry.census() else {
+            let mut live = self.view.with_listing(self.registry.listing());
+            live.warm_at = self.registry.warm_at().clone();
             return live;
         };
         let mut live = self.view.clone();
         live.set_census(census);
-        for roster in self.cells.rosters() {
-            live.add_listing(roster.listing());
-            live.warm_at.extend(roster.warm_at());
+        for registry in self.cells.registries() {
+            live.add_listing(registry.listing());
+            live.warm_at.extend(registry.warm_at());
         }
         self.is_recent_used = self.dispatcher.shards().any(|(_, is_up)| !is_up);
         if self.is_recent_used {
@@ -577,8 +577,8 @@
         let shards = coordination::assignment::shards(&self.live);
         self.shards = shards.len();
         let mine = self.live.assignments.iter();
-        let mine = mine.filter(|a| a.place.vm == self.me && shards.contains(&a.shard));
-        self.cells.follow(mine.map(|a| a.shard.clone()));
+        let mine = mine.filter(|a| a.node.vm == self.me && shards.contains(&a.shard));
+        self.cells.set_shards(mine.map(|a| a.shard.clone()));
         let is_assigned = |shard| self.live.assignment(shard).is_some();
         self.is_unassigned = !shards.iter().all(is_assigned);
         self.to_control(crate::control::Input::Shards(shards));
@@ -591,7 +591,7 @@
                 event = Line::Stopping.as_str(),
                 version = self.view.version.0
             );
-            self.parts.journal.note(Event::new(Step::Stopping));
+            self.parts.journal.note(Event::new(Kind::Stopping));
             self.stopping = true;
             self.dirty = true;
         }
@@ -603,7 +603,7 @@
                 Effect::Report(assignment, report) => {
                     self.reach(&assignment);
                     self.batch
-                        .report(&assignment.place.vm, assignment.epoch, report);
+                        .report(&assignment.node.vm, assignment.epoch, report);
                 }
                 Effect::Dispatch(handle, endpoint) => self.dispatch(now, handle, endpoint),
                 Effect::Refuse(handle, refusal) => {
@@ -662,8 +662,8 @@
     }
 
     fn reach(&mut self, assignment: &Assignment) {
-        if self.schedulers_dialed.insert(assignment.place.vm.clone()) {
-            self.parts.hub.dial(&assignment.place);
+        if self.schedulers_dialed.insert(assignment.node.vm.clone()) {
+            self.parts.hub.dial(&assignment.node);
         }
     }
 
--- a/components/node/src/reactor/peers.rs
+++ b/components/node/src/reactor/peers.rs
@@ -6,7 +6,7 @@
 use state::clock::Millis;
 use state::id::Name;
 use state::line::Line;
-use state::view::{Assignment, Place, Shard};
+use state::view::{Assignment, Node, Shard};
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::sync::oneshot;
 
@@ -23,7 +23,7 @@
     pub(super) fn reach_schedulers(&mut self) {
         let wanted: BTreeMap<Name, Assignment> = (self.dispatcher.shards())
             .filter_map(|(shard, _)| self.live.assignment(shard))
-            .map(|assignment| (assignment.place.vm.clone(), assignment.clone()))
+            .map(|assignment| (assignment.node.vm.clone(), assignment.clone()))
             .collect();
         self.schedulers_dialed.retain(|vm| wanted.contains_key(vm));
         for assignment in wanted.values() {
@@ -61,7 +61,7 @@
     pub(super) fn stand(&mut self, now: Millis) {
         let is_lost = |(_, is_up): (_, bool)| !is_up;
         let known = Known {
-            is_assigned: self.view.assignments.iter().any(|a| a.place.vm == self.me),
+            is_assigned: self.view.assignments.iter().any(|a| a.node.vm == self.me),
             is_unscheduled: self.is_unassigned || self.dispatcher.shards().any(is_lost),
             routers: self.dissemination.size(),
             shards: self.shards,
@@ -92,13 +92,13 @@
 
     /// Control VMs: those that the control role here or the view tells of, and the
     /// seeds, which may know of others.
-    pub(super) fn control_places(&self) -> Vec<Place> {
+    pub(super) fn control_places(&self) -> Vec<Node> {
         let told = if self.members.is_empty() {
             &self.view.control
         } else {
             &self.members
         };
-        let mut places: Vec<Place> = told.clone();
+        let mut places: Vec<Node> = told.clone();
         places.extend(self.parts.seeds.iter().cloned());
         let mut seen = BTreeSet::new();
         places.retain(|p| seen.insert(p.vm.clone()));
@@ -127,11 +127,11 @@
         if !self.live.is_partial() {
             return;
         }
-        for question in self.cells.due(now) {
-            let Some(vm) = self.control_vm(question.turn) else {
+        for question in self.cells.due_queries(now) {
+            let Some(vm) = self.control_vm(question.attempt) else {
                 continue;
             };
-            let wanted = Message::CellWanted(question.shard, question.known);
+            let wanted = Message::CellWanted(question.shard, question.known_id);
             self.parts.hub.send(&vm, wanted);
         }
     }
@@ -155,19 +155,19 @@
     /// Answers a scheduler which endpoints its shard has.
     pub(super) fn tell_cell(&mut self, now: Millis, vm: &Name, shard: Shard, known: u64) {
         let service = self.view.config.services.get(&shard.service);
-        let (Some(service), Some(_)) = (service, self.roster.census()) else {
+        let (Some(service), Some(_)) = (service, self.registry.census()) else {
             return;
         };
         // Whoever does not hold the list, or has not heard of it, leaves the answer to others.
-        let is_known = !self.roster.listing().endpoints.is_empty();
-        if !is_known || !self.roster.is_recent(now, CELL_AGE_MS) {
+        let is_known = !self.registry.listing().endpoints.is_empty();
+        if !is_known || !self.registry.is_recent(now, CELL_AGE_MS) {
             return;
         }
-        let all = self.roster.listing();
+        let all = self.registry.listing();
         let answer = self
             .catalogue
             .answer(now, &shard, &service.name, all, known);
-        let answer = self.roster.told_answer(now, answer);
+        let answer = self.registry.export_answer(now, answer);
         self.parts
             .hub
             .send(vm, Message::Cell(shard, Box::new(answer)));
@@ -276,7 +276,7 @@
     /// Tells other schedulers of the region what engines of those here keep.
     pub(super) fn tell_kept(&mut self) {
         for (to, kept) in self.schedulers.kept(&self.live) {
-            self.parts.hub.send(&to.place.vm, Message::Kept(kept));
+            self.parts.hub.send(&to.node.vm, Message::Kept(kept));
         }
     }
 
@@ -284,9 +284,9 @@
     pub(super) fn tell_served(&mut self) {
         let mut wanted = BTreeSet::new();
         for (to, served) in self.schedulers.served(&self.live) {
-            self.parts.hub.dial(&to.place);
-            self.parts.hub.send(&to.place.vm, Message::Served(served));
-            wanted.insert(to.place.vm);
+            self.parts.hub.dial(&to.node);
+            self.parts.hub.send(&to.node.vm, Message::Served(served));
+            wanted.insert(to.node.vm);
         }
         self.regions_dialed = wanted;
     }
--- a/components/node/src/schedulers.rs
+++ b/components/node/src/schedulers.rs
@@ -12,7 +12,7 @@
 use coordination::scheduler::{Effect, Effects, Scheduler, Session};
 use state::clock::Millis;
 use state::config::Endpoint;
-use state::event::{Event, Step};
+use state::event::{Event, Kind};
 use state::id::{EndpointId, Epoch, Name};
 use state::line::Line;
 use state::view::{Assignment, Shard, View};
@@ -62,7 +62,7 @@
     /// Starts and ends schedulers as the view says.
     pub(crate) fn follow(&mut self, now: Millis, view: &View, batch: &mut Batch) {
         let current = assignment::shards(view);
-        let is_mine = |a: &&Assignment| a.place.vm == self.me && current.contains(&a.shard);
+        let is_mine = |a: &&Assignment| a.node.vm == self.me && current.contains(&a.shard);
         let assignments = || view.assignments.iter().filter(is_mine);
         let over: Vec<Epoch> = (self.all.keys())
             .filter(|epoch| !assignments().any(|s| s.epoch == **epoch))
@@ -78,12 +78,12 @@
             .collect();
         for epoch in over {
             if let Some(assigned) = self.all.remove(&epoch) {
-                let event = Event::new(Step::SchedulerEnded).service(assigned.shard.service);
+                let event = Event::new(Kind::SchedulerEnded).service(assigned.shard.service);
                 self.journal.note(event.epoch(epoch));
             }
         }
         for (epoch, shard) in begun {
-            let event = Event::new(Step::SchedulerBegan).service(shard.service);
+            let event = Event::new(Kind::SchedulerBegan).service(shard.service);
             self.journal.note(event.epoch(epoch));
             let mut scheduler = Scheduler::new(epoch, now);
             scheduler.batch();
@@ -121,7 +121,7 @@
             set_cold(slots, now, view, |_| 0);
             slots.retain_foreign(|id| {
                 let endpoint = view.config.endpoints.get(&id);
-                endpoint.is_some_and(|endpoint| view.takes_work(id, endpoint))
+                endpoint.is_some_and(|endpoint| view.accepts_work(id, endpoint))
             });
         }
         self.tick(now, batch);
@@ -225,7 +225,7 @@
                 other.service == shard.service && other.region == shard.region && other != shard
             };
             let mut others = view.assignments.iter().filter(is_other);
-            if others.any(|a| a.place.vm == *from) {
+            if others.any(|a| a.node.vm == *from) {
                 assigned.scheduler.hear_kept(kept);
             }
         }
@@ -455,11 +455,11 @@
                 }
                 Effect::Ejected(endpoint) => {
                     self.tell(Line::EndpointEjected, endpoint);
-                    journal.note(Event::new(Step::Ejected).endpoint(endpoint));
+                    journal.note(Event::new(Kind::Ejected).endpoint(endpoint));
                 }
                 Effect::Restored(endpoint) => {
                     self.tell(Line::EndpointRestored, endpoint);
-                    journal.note(Event::new(Step::Restored).endpoint(endpoint));
+                    journal.note(Event::new(Kind::Restored).endpoint(endpoint));
                 }
             }
         }
--- a/components/node/src/shared.rs
+++ b/components/node/src/shared.rs
@@ -1,6 +1,6 @@
 //! What the reactor shows to the other parts of the process.
 
-use coordination::tree::Confirm;
+use coordination::tree::Confirmation;
 use serde::Serialize;
 use state::clock::Millis;
 use state::config::Index;
@@ -75,7 +75,7 @@
     /// Node that feeds it.
     pub(crate) parent: Option<Name>,
     /// What it and those that it feeds have confirmed.
-    pub(crate) confirmed: Confirm,
+    pub(crate) confirmed: Confirmation,
     /// Peers with a link.
     pub(crate) peers: Vec<Name>,
     /// Requests that wait here, by customer.
--- a/components/protocol/src/codec.rs
+++ b/components/protocol/src/codec.rs
@@ -1,7 +1,7 @@
 //! Encoding of frames.
 
 use crate::wire::Frame;
-use coordination::agree::BATCH;
+use coordination::consensus::BATCH_ENTRIES_MAX;
 use errors::{Error, Result};
 use postcard::ser_flavors::Size;
 use serde::de::DeserializeOwned;
@@ -19,7 +19,7 @@
 const SMALL_MAX: usize = 20 * 1024;
 /// Largest record of the log in bytes, so that a message carries one with as many small
 /// ones as go into a batch.
-pub const RECORD_MAX: usize = BODY_MAX - BATCH * SMALL_MAX;
+pub const RECORD_MAX: usize = BODY_MAX - BATCH_ENTRIES_MAX * SMALL_MAX;
 
 /// Whether a value can be a record of the log, or the query that asks for one.
 ///
--- a/components/protocol/src/wire.rs
+++ b/components/protocol/src/wire.rs
@@ -1,9 +1,9 @@
 //! The messages.
 
-use coordination::agree::Envelope;
 use coordination::ask::{Grant, Kept, Refusal, Report, Served};
 use coordination::cell;
-use coordination::tree::Confirm;
+use coordination::consensus::Envelope;
+use coordination::tree::Confirmation;
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 use state::clock::Stamp;
@@ -11,10 +11,10 @@
 use state::evacuation::Order;
 use state::id::{CustomerId, EndpointId, Epoch, Name, RequestId, Version};
 use state::listing::{Census, Change, Listing};
-use state::record::{Answer, ChangeId, Known, Release};
+use state::record::{Answer, ChangeId, Release, Resolution};
 use state::secret::Hash;
 use state::suspect::Evidence;
-use state::view::{Place, Shard, Step, View};
+use state::view::{Node, Shard, Step, View};
 use std::net::SocketAddr;
 
 /// Who opens a link.
@@ -22,7 +22,7 @@
 #[serde(rename_all = "kebab-case")]
 pub struct Hello {
     /// Name and address of its links.
-    pub place: Place,
+    pub place: Node,
     /// Its incarnation: a new number for each start of the process.
     pub incarnation: u64,
     /// Where its operators' address listens.
@@ -70,7 +70,7 @@
         /// Request that claimed.
         request: RequestId,
         /// What is known; `None` when it was not run.
-        known: Option<Known>,
+        known: Option<Resolution>,
     },
     /// An operator's order to evacuate a data centre, or to end that.
     Evacuation(Order),
@@ -97,7 +97,7 @@
     /// The answer of the state machine.
     Answer(Answer),
     /// This VM does not lead; perhaps that one does.
-    NotLeader(Option<Place>),
+    NotLeader(Option<Node>),
     /// The query is wrong; nothing was changed.
     Invalid(String),
 }
@@ -128,7 +128,7 @@
     /// Dissemination: another node feeds me, forget me.
     Unsubscribe,
     /// Ask this node instead.
-    Elsewhere(Place),
+    Elsewhere(Node),
     /// The version in force, as a root of the tree has just seen it confirmed.
     Pulse(Version),
     /// The next versions.
@@ -136,7 +136,7 @@
     /// The whole view, for one that missed steps.
     Whole(Box<View>),
     /// What a subtree has in force.
-    Confirm(Confirm),
+    Confirm(Confirmation),
     /// What a subtree has seen of requests that may crash endpoints.
     Evidence(Evidence),
     /// From a router to a scheduler.
--- a/components/settings/src/configuration.rs
+++ b/components/settings/src/configuration.rs
@@ -4,7 +4,8 @@
 use errors::{Error, Result};
 use smallvec::SmallVec;
 use state::config::{
-    Cold, Cost, Customer, Draft, Endpoint, Engine, Limits, Part, Rule, Send, Service, Then, When,
+    Cold, Cost, Customer, Draft, Endpoint, Engine, Forward, Limits, Rule, Service, Target, Then,
+    When,
 };
 use state::id::Name;
 use state::secret::Hash;
@@ -220,7 +221,7 @@
         data_centre: s.convert("data-centre", &raw.data_centre, "the data centre's name")?,
         region: s.convert("region", &region, "the region's name")?,
         slots: s.small("slots", &raw.slots, 1..=4096, 8)?,
-        lead: s.small("lead", &raw.lead, 0..=64, 1)?,
+        prefetch: s.small("lead", &raw.lead, 0..=64, 1)?,
     })
 }
 
@@ -306,7 +307,7 @@
     let timeout = |_| s.millis("timeout", &raw.timeout, 10..=TIMEOUT_MAX_MS, TIMEOUT_MS);
     let retries = |_| s.small("retries", &raw.retries, 0..=10, 2);
     let aim = |_| s.millis("aim", &raw.aim, 1..=TIMEOUT_MAX_MS, TIMEOUT_MS);
-    Ok(Then::Send(Box::new(Send {
+    Ok(Then::Send(Box::new(Forward {
         services: parts(s, &raw.service)?,
         limits,
         timeout_ms: raw.timeout.as_ref().map(timeout).transpose()?,
@@ -322,7 +323,7 @@
 }
 
 /// One service, or several with their weights: `a:90, b:10`.
-fn parts(s: &Section, value: &Option<String>) -> Result<SmallVec<[Part; 1]>> {
+fn parts(s: &Section, value: &Option<String>) -> Result<SmallVec<[Target; 1]>> {
     let what = "the service that receives it, or several as NAME:WEIGHT, NAME:WEIGHT";
     let text = s.need("service", value, what)?;
     let each = |part: &str| {
@@ -330,7 +331,7 @@
         let service = Name::try_from(name.trim()).map_err(|a| s.wrong("service", text, a))?;
         let weight = weight.trim().parse().ok().filter(|w| *w <= WEIGHT_MAX);
         let weight = weight.ok_or_else(|| s.wrong("service", text, what))?;
-        Ok(Part { service, weight })
+        Ok(Target { service, weight })
     };
     list(text).map(each).collect()
 }
@@ -380,7 +381,7 @@
         line(&mut out, "data-centre", &e.data_centre);
         line(&mut out, "region", &e.region);
         line(&mut out, "slots", &e.slots);
-        line(&mut out, "lead", &e.lead);
+        line(&mut out, "lead", &e.prefetch);
     }
     for r in &draft.rules {
         head(&mut out, "rule", &r.name);
@@ -420,11 +421,11 @@
     }
 }
 
-fn print_send(out: &mut String, send: &Send) {
+fn print_send(out: &mut String, send: &Forward) {
     let millis = |ms: Option<u64>| ms.map(|ms| format!("{ms}ms"));
     line(out, "then", &"send");
     match send.services.as_slice() {
-        [Part { service, weight: 1 }] => line(out, "service", service),
+        [Target { service, weight: 1 }] => line(out, "service", service),
         parts => {
             let parts: Vec<String> = (parts.iter())
                 .map(|p| format!("{}:{}", p.service, p.weight))
--- a/components/settings/src/process.rs
+++ b/components/settings/src/process.rs
@@ -5,7 +5,7 @@
 use smallvec::SmallVec;
 use state::id::Name;
 use state::secret::Hash;
-use state::view::Place;
+use state::view::Node;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -161,14 +161,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Peers {
     /// All of them are known by name, for good.
-    Named(SmallVec<[Place; 5]>),
+    Named(SmallVec<[Node; 5]>),
     /// Some of them are known by address; they tell of the others.
-    Seeds(SmallVec<[Place; 5]>),
+    Seeds(SmallVec<[Node; 5]>),
 }
 
 impl Peers {
     /// Places that are known from the settings.
-    pub fn places(&self) -> &[Place] {
+    pub fn places(&self) -> &[Node] {
         match self {
             Peers::Named(places) | Peers::Seeds(places) => places,
         }
@@ -370,7 +370,7 @@
         };
         let link = link(need("link")?, base)?;
         // Peers that know only an address must come to the same name.
-        let name = find("seeds").map(|_| Place::at(link.listen).vm);
+        let name = find("seeds").map(|_| Node::at(link.listen).vm);
         let vm = vm(need("vm")?, name)?;
         let control = find("control").map(|s| control(s, base)).transpose()?;
         let peers = match find("seeds") {
@@ -482,13 +482,13 @@
 }
 
 /// Places of seeds. Their links listen on the port of this VM's own.
-fn seeds(s: &Section, link: SocketAddr) -> Result<SmallVec<[Place; 5]>> {
+fn seeds(s: &Section, link: SocketAddr) -> Result<SmallVec<[Node; 5]>> {
     let raw: RawSeeds = s.raw()?;
     let what = "addresses of control VMs, such as 10.0.0.1:7001, 10.0.0.2:7001";
     let text = s.need("addresses", &raw.addresses, what)?;
     let each = |part: &str| {
         let address: SocketAddr = part.parse().map_err(|_| s.wrong("addresses", text, what))?;
-        Ok(Place::at(SocketAddr::new(address.ip(), link.port())))
+        Ok(Node::at(SocketAddr::new(address.ip(), link.port())))
     };
     section::list(text).map(each).collect()
 }
@@ -517,15 +517,15 @@
     })
 }
 
-fn peers(s: &Section) -> Result<SmallVec<[Place; 5]>> {
-    let mut seeds: SmallVec<[Place; 5]> = SmallVec::new();
+fn peers(s: &Section) -> Result<SmallVec<[Node; 5]>> {
+    let mut seeds: SmallVec<[Node; 5]> = SmallVec::new();
     for (key, value) in s.pairs() {
         let vm = Name::try_from(key.as_str()).map_err(|allowed| s.wrong(key, value, allowed))?;
         let address = value.parse().map_err(|_| s.wrong(key, value, ADDRESS))?;
         if seeds.iter().any(|p| p.vm == vm) {
             return Err(s.wrong(key, value, "each VM once"));
         }
-        seeds.push(Place { vm, address });
+        seeds.push(Node { vm, address });
     }
     if ![1, 3, 5, 7].contains(&seeds.len()) {
         let value = seeds.len().to_string();
--- a/components/state/src/config.rs
+++ b/components/state/src/config.rs
@@ -109,7 +109,8 @@
     /// Requests that it works on at once.
     pub slots: u32,
     /// Requests kept ready beyond its slots, to cover the grant's round trip.
-    pub lead: u32,
+    #[serde(rename = "lead")]
+    pub prefetch: u32,
 }
 
 /// What a rule asks of a request; every part given must hold.
@@ -151,20 +152,20 @@
 /// One service of several that share a rule's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Part {
+pub struct Target {
     /// Service.
     pub service: Name,
-    /// Part of the requests, relative to the other services of the rule.
+    /// Target of the requests, relative to the other services of the rule.
     pub weight: u32,
 }
 
 /// How a request that matches is sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Send {
+pub struct Forward {
     /// Services that receive it, each by its weight; at least one weighs more
     /// than 0.
-    pub services: SmallVec<[Part; 1]>,
+    pub services: SmallVec<[Target; 1]>,
     /// Limits.
     pub limits: Limits,
     /// Time-out in milliseconds, in place of the service's.
@@ -190,9 +191,9 @@
     pub regions: SmallVec<[Name; 2]>,
 }
 
-impl Send {
+impl Forward {
     /// The service that gets a request, by a number that was drawn for it.
-    pub fn service(&self, draw: u64) -> Option<&Name> {
+    pub fn pick_service(&self, draw: u64) -> Option<&Name> {
         let total: u64 = self.services.iter().map(|p| u64::from(p.weight)).sum();
         let mut at = draw.checked_rem(total)?;
         for part in &self.services {
@@ -211,7 +212,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Then {
     /// Queue it for a service.
-    Send(Box<Send>),
+    Send(Box<Forward>),
     /// Answer 403 with a reason.
     Refuse {
         /// Reason given to the caller.
@@ -258,7 +259,8 @@
     /// Rules; the first that matches decides.
     pub rules: Vec<Rule>,
     /// Next number to assign; a number is never used twice.
-    pub next: u32,
+    #[serde(rename = "next")]
+    pub next_id: u32,
 }
 
 impl Config {
@@ -448,8 +450,8 @@
 }
 
 /// Refuses a rule whose requests would go nowhere.
-fn check_weights(rule: &Rule, send: &Send) -> Result<(), Contradiction> {
-    if send.service(0).is_some() {
+fn check_weights(rule: &Rule, send: &Forward) -> Result<(), Contradiction> {
+    if send.pick_service(0).is_some() {
         return Ok(());
     }
     Err(Contradiction {
--- a/components/state/src/delta.rs
+++ b/components/state/src/delta.rs
@@ -46,7 +46,8 @@
     /// Where the new rules come from, in their order, when any of them changed.
     pub rules: Option<Vec<Run>>,
     /// Next number to assign.
-    pub next: u32,
+    #[serde(rename = "next")]
+    pub next_id: u32,
 }
 
 impl Delta {
@@ -54,7 +55,7 @@
     ///
     /// An item keeps its number as long as its name stays.
     pub fn between(config: &Config, draft: &Draft) -> Self {
-        let mut next = config.next;
+        let mut next = config.next_id;
         Delta {
             customers: items(
                 &config.customers,
@@ -75,7 +76,7 @@
                 || EndpointId(number(&mut next)),
             ),
             rules: (config.rules != draft.rules).then(|| runs(&config.rules, &draft.rules)),
-            next,
+            next_id: next,
         }
     }
 
@@ -87,7 +88,7 @@
         if let Some(runs) = &self.rules {
             config.rules = join(&config.rules, runs);
         }
-        config.next = self.next;
+        config.next_id = self.next_id;
     }
 }
 
--- a/components/state/src/event.rs
+++ b/components/state/src/event.rs
@@ -7,7 +7,7 @@
 /// What happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Step {
+pub enum Kind {
     /// A caller's request was taken.
     Taken,
     /// The request was queued.
@@ -59,7 +59,8 @@
     /// Hybrid logical time.
     pub stamp: Stamp,
     /// What happened.
-    pub step: Step,
+    #[serde(rename = "step")]
+    pub kind: Kind,
     /// Request concerned.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub request: Option<RequestId>,
@@ -85,10 +86,10 @@
 
 impl Event {
     /// An event with nothing but its step; the journal stamps it.
-    pub fn new(step: Step) -> Self {
+    pub fn new(kind: Kind) -> Self {
         Event {
             stamp: Stamp::default(),
-            step,
+            kind,
             request: None,
             customer: None,
             service: None,
--- a/components/state/src/listing.rs
+++ b/components/state/src/listing.rs
@@ -10,27 +10,28 @@
 /// One endpoint of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Listed {
+pub struct Entry {
     /// The endpoint.
     pub endpoint: Endpoint,
     /// When it started, in Unix milliseconds, where the list tells.
-    pub born: Option<u64>,
+    #[serde(rename = "born")]
+    pub started_ms: Option<u64>,
     /// Whether it gets no new work.
     pub leaving: bool,
     /// Time for which it stays cold, in milliseconds from the moment at which this is told.
     pub cold_ms: u32,
 }
 
-impl Listed {
+impl Entry {
     /// Key of this start of the endpoint.
     ///
     /// One that starts again under its name has forgotten everything. Known by its
     /// name alone, it would be sent prompts for the parts that it had kept, and the
     /// failures of its earlier life would count against it.
     pub fn id(&self) -> EndpointId {
-        match self.born {
+        match self.started_ms {
             None => EndpointId::of(&self.endpoint.name),
-            Some(born) => EndpointId::of_start(&self.endpoint.name, born),
+            Some(started_ms) => EndpointId::of_start(&self.endpoint.name, started_ms),
         }
     }
 }
@@ -42,7 +43,7 @@
     /// A number drawn for this content.
     pub id: u64,
     /// The endpoints, in the order of their names.
-    pub endpoints: Vec<Listed>,
+    pub endpoints: Vec<Entry>,
 }
 
 /// What turns one listing into the next.
@@ -57,7 +58,7 @@
     /// Number of the listing after it.
     pub id: u64,
     /// Endpoints that are new or changed.
-    pub set: Vec<Listed>,
+    pub set: Vec<Entry>,
     /// Names of those that are gone.
     pub gone: Vec<Name>,
 }
@@ -75,7 +76,8 @@
     /// How many there are.
     pub all: u32,
     /// How many of them do not leave.
-    pub open: u32,
+    #[serde(rename = "open")]
+    pub available: u32,
 }
 
 /// How many endpoints there are, told in place of a listing that is too long for all
@@ -90,31 +92,31 @@
 }
 
 /// Counts endpoints, each with whether it leaves.
-pub fn count<'a, E>(endpoints: E) -> Vec<Count>
+pub fn count_endpoints<'a, E>(endpoints: E) -> Vec<Count>
 where
     E: IntoIterator<Item = (&'a Endpoint, bool)>,
 {
     let mut counts: BTreeMap<(&Name, &Name, &Name), (u32, u32)> = BTreeMap::new();
     for (endpoint, leaves) in endpoints {
         let key = (&endpoint.service, &endpoint.region, &endpoint.data_centre);
-        let (all, open) = counts.entry(key).or_default();
+        let (all, available) = counts.entry(key).or_default();
         *all += 1;
-        *open += u32::from(!leaves);
+        *available += u32::from(!leaves);
     }
     let each = counts.into_iter();
-    each.map(|((service, region, data_centre), (all, open))| Count {
+    each.map(|((service, region, data_centre), (all, available))| Count {
         service: service.clone(),
         region: region.clone(),
         data_centre: data_centre.clone(),
         all,
-        open,
+        available,
     })
     .collect()
 }
 
 impl Listing {
     /// Whether it has an endpoint of this name.
-    pub fn holds(&self, name: &Name) -> bool {
+    pub fn contains(&self, name: &Name) -> bool {
         let found = self
             .endpoints
             .binary_search_by(|l| l.endpoint.name.cmp(name));
@@ -122,12 +124,12 @@
     }
 
     /// What turns `old` into this listing.
-    pub fn change_from(&self, old: &Listing) -> Change {
-        let before: BTreeMap<&Name, &Listed> = (old.endpoints.iter())
+    pub fn diff_from(&self, old: &Listing) -> Change {
+        let before: BTreeMap<&Name, &Entry> = (old.endpoints.iter())
             .map(|l| (&l.endpoint.name, l))
             .collect();
         let now: BTreeSet<&Name> = self.endpoints.iter().map(|l| &l.endpoint.name).collect();
-        let is_news = |l: &&Listed| before.get(&l.endpoint.name) != Some(l);
+        let is_news = |l: &&Entry| before.get(&l.endpoint.name) != Some(l);
         let gone = before.keys().copied().filter(|name| !now.contains(name));
         Change {
             base: old.id,
@@ -138,12 +140,12 @@
     }
 
     /// This listing after a change; `None` if the change is of another one.
-    pub fn changed(&self, change: &Change) -> Option<Listing> {
+    pub fn with_change(&self, change: &Change) -> Option<Listing> {
         if change.base != self.id {
             return None;
         }
         let kept = self.endpoints.iter().map(|l| (&l.endpoint.name, l));
-        let mut all: BTreeMap<&Name, &Listed> = kept.collect();
+        let mut all: BTreeMap<&Name, &Entry> = kept.collect();
         for name in &change.gone {
             all.remove(name);
         }
@@ -182,7 +184,7 @@
     /// Puts counts in place of a listing whose endpoints are not all held here.
     pub fn set_census(&mut self, census: &Census) {
         let own = self.config.endpoints.iter();
-        let own = count(own.map(|(id, endpoint)| (endpoint, self.leaving.contains(id))));
+        let own = count_endpoints(own.map(|(id, endpoint)| (endpoint, self.leaving.contains(id))));
         self.census = Some(own.into_iter().chain(census.counts.clone()).collect());
     }
 
@@ -192,12 +194,12 @@
     }
 
     /// Endpoints of each service in each data centre, held here or not.
-    pub fn counts(&self) -> Cow<'_, [Count]> {
+    pub fn endpoint_counts(&self) -> Cow<'_, [Count]> {
         if let Some(census) = &self.census {
             return Cow::Borrowed(census);
         }
         let held = self.config.endpoints.iter();
         let held = held.map(|(id, endpoint)| (endpoint, self.leaving.contains(id)));
-        Cow::Owned(count(held))
+        Cow::Owned(count_endpoints(held))
     }
 }
--- a/components/state/src/record.rs
+++ b/components/state/src/record.rs
@@ -7,7 +7,7 @@
 use crate::id::{CustomerId, RequestId, Version};
 use crate::secret::Hash;
 use crate::suspect::Evidence;
-use crate::view::{Assignment, Departure, Place};
+use crate::view::{Assignment, Departure, Node};
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
@@ -19,16 +19,17 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct Disk(pub u64);
+pub struct DiskId(pub u64);
 
 /// A control VM with its disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Member {
     /// Identity of the disk.
-    pub disk: Disk,
+    pub disk: DiskId,
     /// Where it is reached.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub node: Node,
 }
 
 /// Who takes part in agreement.
@@ -43,7 +44,7 @@
 
 impl Members {
     /// Whether `disk` votes.
-    pub fn votes(&self, disk: Disk) -> bool {
+    pub fn votes(&self, disk: DiskId) -> bool {
         self.voters.iter().any(|m| m.disk == disk)
     }
 
@@ -78,9 +79,10 @@
 /// What is known of a claimed idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Known {
+pub enum Resolution {
     /// Claimed; the request may be running.
-    Open,
+    #[serde(rename = "open")]
+    Pending,
     /// Answered with this.
     Answered(Stored),
     /// The router lost it after sending: it may or may not have run.
@@ -104,7 +106,8 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Record {
     /// A new leader's first entry, which lets it count older ones as accepted.
-    Blank,
+    #[serde(rename = "blank")]
+    NoOp,
     /// An operator's change.
     Change {
         /// Identity for resends.
@@ -141,7 +144,7 @@
         /// Request that claimed.
         request: RequestId,
         /// What is known now; `None` frees a key whose request was not run.
-        known: Option<Known>,
+        known: Option<Resolution>,
     },
     /// What routers have seen of requests that may crash endpoints, if only that time has
     /// passed.
@@ -183,7 +186,9 @@
     /// sent, or a newer one.
     Released(u64),
     /// The key is this request's.
-    Fresh,
+    #[serde(rename = "fresh")]
+    Claimed,
     /// Another request has the key: its fingerprint and what is known.
-    Taken(Hash, Known),
+    #[serde(rename = "taken")]
+    AlreadyClaimed(Hash, Resolution),
 }
