--- a/components/state/src/route.rs
+++ b/components/state/src/route.rs
@@ -4,8 +4,8 @@
 use smallvec::SmallVec;
 use std::collections::HashMap;
 
-/// Places of rules in their list.
-pub type Places = SmallVec<[u16; 8]>;
+/// Positions of rules in their list.
+pub type Positions = SmallVec<[u16; 8]>;
 
 /// Rules by host and path; those that ask for neither stand aside.
 #[derive(Clone, Debug, Default)]
@@ -16,12 +16,12 @@
 }
 
 impl Routes {
-    /// Places of the rules that could match a host and path, in order.
+    /// Positions of the rules that could match a host and path, in order.
     ///
     /// Every rule that matches is among them, so that the first of them whose
     /// condition holds is the first of all rules whose condition holds.
-    pub fn candidates(&self, host: Option<&str>, path: &str) -> Places {
-        let mut found: Places = self.others.iter().copied().collect();
+    pub fn candidates(&self, host: Option<&str>, path: &str) -> Positions {
+        let mut found: Positions = self.others.iter().copied().collect();
         let paths = host.and_then(|host| self.hosts.get(host));
         if let Some(paths) = paths {
             for (slash, _) in path.match_indices('/') {
--- a/components/state/src/store.rs
+++ b/components/state/src/store.rs
@@ -3,10 +3,10 @@
 use crate::delta::Delta;
 use crate::evacuation::{Evacuation, Order};
 use crate::id::{CustomerId, RequestId, Version};
-use crate::record::{Answer, ChangeId, Known, Members, Record, Release};
+use crate::record::{Answer, ChangeId, Members, Record, Release, Resolution};
 use crate::secret::Hash;
-use crate::suspect::{changes, Evidence, Suspects, CRASHES_WATCHED};
-use crate::view::{Change, Place, Step, View};
+use crate::suspect::{diff, Evidence, Suspects, WATCH_CRASHES};
+use crate::view::{Change, Node, Step, View};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -17,7 +17,7 @@
 /// Claimed keys kept at most; the oldest give way. A control VM has 64 MB.
 pub const CLAIMS_MAX: usize = 200_000;
 /// Bytes of stored answers kept at most; the oldest bodies give way.
-pub const STORED_MAX: usize = 8 * 1024 * 1024;
+pub const STORED_BYTES_MAX: usize = 8 * 1024 * 1024;
 
 /// A claimed idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
     /// Leader's wall clock in seconds at the claim.
     pub at: u64,
     /// What is known of it.
-    pub known: Known,
+    pub known: Resolution,
 }
 
 /// Everything that must survive.
@@ -73,7 +73,7 @@
     /// Applies a record; gives its answer, and the step if the view changed.
     pub fn apply(&mut self, record: &Record) -> (Answer, Option<Step>) {
         match record {
-            Record::Blank => (Answer::Done, None),
+            Record::NoOp => (Answer::Done, None),
             Record::Members(members) => (Answer::Done, self.members(members)),
             Record::Release(release) => self.release(release),
             Record::Change { id, base, delta } => self.change(*id, *base, delta),
@@ -84,7 +84,7 @@
                 }
                 self.step(Change::Assignment(assignment.clone()))
             }
-            Record::Departure(departure) if self.view.knows(departure) => {
+            Record::Departure(departure) if self.view.is_announced(departure) => {
                 // Several may announce the same; it is one departure.
                 (Answer::Accepted(self.view.version), None)
             }
@@ -101,7 +101,7 @@
                     fingerprint: *fingerprint,
                     request: *request,
                     at: *at,
-                    known: Known::Open,
+                    known: Resolution::Pending,
                 };
                 (self.claim(*key, claim), None)
             }
@@ -141,23 +141,23 @@
     fn step(&mut self, change: Change) -> (Answer, Option<Step>) {
         let version = Version(self.view.version.0 + 1);
         let step = Step { version, change };
-        self.view.take(&step);
+        self.view.apply_step(&step);
         (Answer::Accepted(version), Some(step))
     }
 
     /// Counts crashes and clearances; gives the step if routers are to act on it.
     fn suspect(&mut self, now_micros: u64, evidence: &Evidence) -> Option<Step> {
         self.suspects.expire(now_micros);
-        (evidence.crashes.iter()).for_each(|c| self.suspects.crashed(c));
-        (evidence.cleared.iter()).for_each(|c| self.suspects.cleared(c));
-        let standings = self.suspects.standings(CRASHES_WATCHED);
-        let changes = changes(&self.view.suspects, &standings);
+        (evidence.crashes.iter()).for_each(|c| self.suspects.record_crash(c));
+        (evidence.cleared.iter()).for_each(|c| self.suspects.record_completion(c));
+        let statuses = self.suspects.statuses(WATCH_CRASHES);
+        let changes = diff(&self.view.suspects, &statuses);
         (!changes.is_empty()).then(|| self.step(Change::Suspects(changes)).1)?
     }
 
     /// Tells everyone where the control VMs are.
     fn members(&mut self, members: &Members) -> Option<Step> {
-        let places: Vec<Place> = members.voters.iter().map(|m| m.place.clone()).collect();
+        let places: Vec<Node> = members.voters.iter().map(|m| m.node.clone()).collect();
         let same = places == self.view.control;
         (!same).then(|| self.step(Change::Control(places)).1)?
     }
@@ -209,20 +209,20 @@
         self.expire(claim.at);
         if let Some(first) = self.claims.get(&key) {
             // The same request asks again when it lost the answer.
-            if first.request == claim.request && first.known == Known::Open {
-                return Answer::Fresh;
+            if first.request == claim.request && first.known == Resolution::Pending {
+                return Answer::Claimed;
             }
-            return Answer::Taken(first.fingerprint, first.known.clone());
+            return Answer::AlreadyClaimed(first.fingerprint, first.known.clone());
         }
         self.claim_ages.push_back((claim.at, key));
         self.claims.insert(key, claim);
         while self.claims.len() > CLAIMS_MAX {
             self.drop_oldest();
         }
-        Answer::Fresh
+        Answer::Claimed
     }
 
-    fn settle(&mut self, key: &Hash, request: RequestId, known: Option<&Known>) {
+    fn settle(&mut self, key: &Hash, request: RequestId, known: Option<&Resolution>) {
         let Some(claim) = self.claims.get_mut(key) else {
             return;
         };
@@ -243,7 +243,7 @@
     /// Drops the oldest stored bodies beyond the bound; that they were answered
     /// is still known.
     fn trim_stored(&mut self) {
-        while self.stored_bytes > STORED_MAX {
+        while self.stored_bytes > STORED_BYTES_MAX {
             let Some(oldest) = self.stored.pop_front() else {
                 return;
             };
@@ -251,7 +251,7 @@
                 continue;
             };
             self.stored_bytes -= stored_bytes(&claim.known);
-            if let Known::Answered(stored) = &mut claim.known {
+            if let Resolution::Answered(stored) = &mut claim.known {
                 stored.body = None;
             }
         }
@@ -289,9 +289,9 @@
 }
 
 /// Bytes of a body that is kept.
-fn stored_bytes(known: &Known) -> usize {
+fn stored_bytes(known: &Resolution) -> usize {
     match known {
-        Known::Answered(stored) => stored.body.as_ref().map_or(0, Vec::len),
-        Known::Open | Known::Unknown => 0,
+        Resolution::Answered(stored) => stored.body.as_ref().map_or(0, Vec::len),
+        Resolution::Pending | Resolution::Unknown => 0,
     }
 }
--- a/components/state/src/suspect.rs
+++ b/components/state/src/suspect.rs
@@ -11,11 +11,11 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Crashes after which a request is quarantined.
-pub const CRASHES_MAX: u32 = 3;
+pub const QUARANTINE_CRASHES: u32 = 3;
 /// Crashes after which all routers watch for an answer that clears a request.
-pub const CRASHES_WATCHED: u32 = 2;
+pub const WATCH_CRASHES: u32 = 2;
 /// Time for which a quarantine holds first, and a suspicion, in microseconds.
-pub const HOLD_MICROS: u64 = 600 * 1_000_000;
+pub const QUARANTINE_MICROS: u64 = 600 * 1_000_000;
 /// Doublings of that time at most: a request that crashes endpoints again after its
 /// quarantine is kept away longer each time.
 const DOUBLINGS_MAX: u32 = 6;
@@ -26,7 +26,7 @@
 /// Suspects that are kept.
 pub const SUSPECTS_MAX: usize = 2048;
 /// Suspects of one customer that are kept, so that none can crowd out those of others.
-pub const CUSTOMER_MAX: usize = 256;
+pub const CUSTOMER_SUSPECTS_MAX: usize = 256;
 
 /// An endpoint broke off a request, perhaps because the request crashed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -45,7 +45,7 @@
 /// An endpoint has answered a request whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Clearance {
+pub struct Completion {
     /// The request.
     pub fingerprint: Fingerprint,
     /// When the answer ended.
@@ -64,8 +64,8 @@
 
 impl Successes {
     /// Takes a whole answer.
-    pub fn answered(&mut self, clearance: &Clearance) {
-        let Clearance { fingerprint, at } = *clearance;
+    pub fn record(&mut self, clearance: &Completion) {
+        let Completion { fingerprint, at } = *clearance;
         self.last.insert(fingerprint, at);
         self.ages.push_back((at, fingerprint));
         let is_old = |then: &Stamp| then.wall + SUCCESS_MICROS < at.wall;
@@ -81,7 +81,7 @@
     }
 
     /// Whether an answer of late shows that a request has not caused a crash.
-    pub fn exonerate(&self, crash: &Crash) -> bool {
+    pub fn rules_out(&self, crash: &Crash) -> bool {
         let last = self.last.get(&crash.fingerprint);
         last.is_some_and(|last| last.wall + SUCCESS_MICROS >= crash.at.wall)
     }
@@ -94,7 +94,7 @@
     /// Requests that their endpoints broke off.
     pub crashes: Vec<Crash>,
     /// Suspected requests that were answered whole.
-    pub cleared: Vec<Clearance>,
+    pub cleared: Vec<Completion>,
 }
 
 impl Evidence {
@@ -131,7 +131,7 @@
 /// What routers are to do with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Standing {
+pub enum Status {
     /// Serve it, and tell when it is answered whole.
     Watched,
     /// Refuse it.
@@ -139,7 +139,7 @@
 }
 
 /// What routers are to do with requests that are not to be served like any other.
-pub type Standings = BTreeMap<Fingerprint, Standing>;
+pub type Statuses = BTreeMap<Fingerprint, Status>;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -163,11 +163,11 @@
 
 impl Suspect {
     fn hold_micros(&self) -> u64 {
-        HOLD_MICROS << self.released.min(DOUBLINGS_MAX)
+        QUARANTINE_MICROS << self.released.min(DOUBLINGS_MAX)
     }
 
     fn is_quarantined(&self) -> bool {
-        self.crashes >= CRASHES_MAX
+        self.crashes >= QUARANTINE_CRASHES
     }
 }
 
@@ -177,7 +177,7 @@
     /// It counts only if the try was sent after the last one that counted: copies of a
     /// popular request that are in progress at several endpoints, lost together with their
     /// rack, tell no more than one of them does. The same holds for a report that comes twice.
-    pub fn crashed(&mut self, crash: &Crash) {
+    pub fn record_crash(&mut self, crash: &Crash) {
         if let Some(suspect) = self.all.get_mut(&crash.fingerprint) {
             if crash.sent > suspect.crashed {
                 suspect.crashes = suspect.crashes.saturating_add(1);
@@ -191,14 +191,14 @@
             customer: crash.customer,
             crashes: 1,
             crashed: crash.at,
-            until_micros: crash.at.wall.saturating_add(HOLD_MICROS),
+            until_micros: crash.at.wall.saturating_add(QUARANTINE_MICROS),
             released: 0,
         };
         self.all.insert(crash.fingerprint, suspect);
     }
 
     /// Takes a whole answer; one that ended before the last crash clears nothing.
-    pub fn cleared(&mut self, clearance: &Clearance) {
+    pub fn record_completion(&mut self, clearance: &Completion) {
         let suspect = self.all.get(&clearance.fingerprint);
         if suspect.is_some_and(|s| clearance.at > s.crashed) {
             self.all.remove(&clearance.fingerprint);
@@ -216,7 +216,7 @@
         let is_over = |s: &Suspect| s.until_micros <= now_micros;
         self.all.retain(|_, s| s.is_quarantined() || !is_over(s));
         for suspect in self.all.values_mut().filter(|s| is_over(s)) {
-            suspect.crashes = CRASHES_WATCHED;
+            suspect.crashes = WATCH_CRASHES;
             suspect.released += 1;
             suspect.until_micros = now_micros.saturating_add(suspect.hold_micros());
         }
@@ -228,16 +228,16 @@
     }
 
     /// Whether a request is suspected at all.
-    pub fn knows(&self, fingerprint: &Fingerprint) -> bool {
+    pub fn contains(&self, fingerprint: &Fingerprint) -> bool {
         self.all.contains_key(fingerprint)
     }
 
     /// What routers are to do with those that have crashed endpoints at least `from` times.
-    pub fn standings(&self, from: u32) -> Standings {
+    pub fn statuses(&self, from: u32) -> Statuses {
         let told = self.all.iter().filter(|(_, s)| s.crashes >= from);
         let standing = |s: &Suspect| match s.is_quarantined() {
-            true => Standing::Quarantined,
-            false => Standing::Watched,
+            true => Status::Quarantined,
+            false => Status::Watched,
         };
         told.map(|(f, s)| (*f, standing(s))).collect()
     }
@@ -255,7 +255,7 @@
     /// Drops the least suspected, of the customer if it has its share of all.
     fn make_room(&mut self, customer: CustomerId) {
         let own = |s: &Suspect| s.customer == customer;
-        let is_full = self.all.values().filter(|s| own(s)).count() >= CUSTOMER_MAX;
+        let is_full = self.all.values().filter(|s| own(s)).count() >= CUSTOMER_SUSPECTS_MAX;
         if !is_full && self.all.len() < SUSPECTS_MAX {
             return;
         }
@@ -268,13 +268,13 @@
 }
 
 /// Requests that are suspected less than before.
-pub fn relieved(old: &Standings, new: &Standings) -> Vec<Fingerprint> {
-    let is_less = |(f, standing): &(&Fingerprint, &Standing)| new.get(f) < Some(standing);
+pub fn downgraded(old: &Statuses, new: &Statuses) -> Vec<Fingerprint> {
+    let is_less = |(f, standing): &(&Fingerprint, &Status)| new.get(f) < Some(standing);
     old.iter().filter(is_less).map(|(f, _)| *f).collect()
 }
 
-/// The changes that lead from some standings to others.
-pub fn changes(old: &Standings, new: &Standings) -> Vec<(Fingerprint, Option<Standing>)> {
+/// The changes that lead from some statuses to others.
+pub fn diff(old: &Statuses, new: &Statuses) -> Vec<(Fingerprint, Option<Status>)> {
     let gone = old.keys().filter(|f| !new.contains_key(f));
     let gone = gone.map(|f| (*f, None));
     let set = new.iter().filter(|(f, s)| old.get(f) != Some(s));
--- a/components/state/src/view.rs
+++ b/components/state/src/view.rs
@@ -7,7 +7,7 @@
 use crate::fingerprint::Fingerprint;
 use crate::id::{EndpointId, Epoch, Name, ServiceId, Version};
 use crate::listing::Count;
-use crate::suspect::{Standing, Standings};
+use crate::suspect::{Status, Statuses};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -15,20 +15,20 @@
 /// A VM and the address of its links.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Place {
+pub struct Node {
     /// Name of the VM.
     pub vm: Name,
     /// Where its links listen.
     pub address: SocketAddr,
 }
 
-impl Place {
+impl Node {
     /// A VM that is known by its address alone, under the name that follows from
     /// it: a seed has no other name before it was reached.
     pub fn at(address: SocketAddr) -> Self {
         let host = address.ip().to_string().replace(['.', ':'], "-");
         let vm = Name::try_from(format!("vm-{host}"));
-        Place {
+        Node {
             // An address has only digits, letters, dots and colons.
             vm: vm.unwrap_or_else(|_| Name::unnamed()),
             address,
@@ -108,7 +108,8 @@
     /// What it schedules.
     pub shard: Shard,
     /// Scheduler.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub node: Node,
     /// Its number; grants of an earlier one are refused.
     pub epoch: Epoch,
 }
@@ -135,13 +136,13 @@
     /// An operator's complete configuration of this number replaced the one before.
     Release(u64, Delta),
     /// The control VMs are these.
-    Control(Vec<Place>),
+    Control(Vec<Node>),
     /// A scheduler was assigned.
     Assignment(Assignment),
     /// Someone leaves.
     Departure(Departure),
     /// What is to be done with requests that may crash endpoints; `None` for nothing more.
-    Suspects(Vec<(Fingerprint, Option<Standing>)>),
+    Suspects(Vec<(Fingerprint, Option<Status>)>),
     /// A data centre is evacuated, or no longer.
     Evacuation(Name, Evacuation),
 }
@@ -169,7 +170,7 @@
     /// Number of the operator's complete configuration in force, 0 for none.
     pub release: u64,
     /// Control VMs that vote; empty until the first change among them.
-    pub control: Vec<Place>,
+    pub control: Vec<Node>,
     /// Scheduler of each shard, as pairs because a shard is no JSON key.
     pub assignments: Vec<Assignment>,
     /// Endpoints that get no new work.
@@ -177,7 +178,7 @@
     /// VMs told to stop, with the incarnation concerned.
     pub stopping: BTreeMap<Name, u64>,
     /// Requests that are watched or quarantined since they may crash endpoints.
-    pub suspects: Standings,
+    pub suspects: Statuses,
     /// Data centres that are evacuated, or were.
     pub evacuations: Evacuations,
     /// When endpoints that are cold will be warm, by this process's own clock. Each process
@@ -192,11 +193,11 @@
 
 /// What became of an offered step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum Acceptance {
     /// It was the next one and is in force.
-    InForce,
+    Applied,
     /// It is older than what is in force, and was dropped.
-    Old,
+    Stale,
     /// Steps are missing before it; ask for the whole view.
     Gap,
 }
@@ -206,20 +207,20 @@
     ///
     /// A late or doubled message must not bring an older version back: one
     /// would see `version` fall. Only the exact successor is applied.
-    pub fn take(&mut self, step: &Step) -> Taken {
+    pub fn apply_step(&mut self, step: &Step) -> Acceptance {
         let next = Version(self.version.0 + 1);
         if step.version < next {
-            return Taken::Old;
+            return Acceptance::Stale;
         }
         if step.version > next {
-            return Taken::Gap;
+            return Acceptance::Gap;
         }
         self.apply(&step.change);
         self.version = next;
         if matches!(step.change, Change::Config(_) | Change::Release(..)) {
             self.config_version = next;
         }
-        Taken::InForce
+        Acceptance::Applied
     }
 
     /// Takes a whole view if it is newer than this one.
@@ -237,7 +238,7 @@
     }
 
     /// Whether a departure is in force already.
-    pub fn knows(&self, departure: &Departure) -> bool {
+    pub fn is_announced(&self, departure: &Departure) -> bool {
         match departure {
             Departure::Endpoint(id) => self.leaving.contains(id),
             Departure::EndpointBack(id) => !self.leaving.contains(id),
@@ -258,7 +259,7 @@
     }
 
     /// Whether an endpoint gets new work.
-    pub fn takes_work(&self, id: EndpointId, endpoint: &Endpoint) -> bool {
+    pub fn accepts_work(&self, id: EndpointId, endpoint: &Endpoint) -> bool {
         !self.leaving.contains(&id) && !self.is_evacuated(&endpoint.data_centre)
     }
 
--- a/components/state/tests/release.rs
+++ b/components/state/tests/release.rs
@@ -3,12 +3,12 @@
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
-use state::config::{Cost, Draft, Part, Rule, Send, Service, Then, When};
+use state::config::{Cost, Draft, Forward, Rule, Service, Target, Then, When};
 use state::id::{Name, Version};
-use state::record::{Answer, Disk, Member, Members, Record, Release};
+use state::record::{Answer, DiskId, Member, Members, Record, Release};
 use state::route::Routes;
 use state::store::Store;
-use state::view::Place;
+use state::view::Node;
 
 fn name(text: &str) -> Name {
     Name::try_from(text).unwrap()
@@ -84,8 +84,8 @@
 #[test]
 fn can_tell_routers_where_the_control_vms_are() {
     let member = |n: u64| Member {
-        disk: Disk(n),
-        place: Place::at(format!("10.0.0.{n}:7001").parse().unwrap()),
+        disk: DiskId(n),
+        node: Node::at(format!("10.0.0.{n}:7001").parse().unwrap()),
     };
     let mut store = Store::default();
     let members = Members {
@@ -105,31 +105,31 @@
 
 #[test]
 fn errors_when_a_rule_sends_nothing_anywhere() {
-    let send = |weight| Send {
-        services: [Part {
+    let send = |weight| Forward {
+        services: [Target {
             service: name("a"),
             weight,
         }]
         .into_iter()
         .collect(),
-        ..Send::default()
+        ..Forward::default()
     };
-    assert_eq!(send(0).service(17), None);
-    assert_eq!(send(3).service(17), Some(&name("a")));
+    assert_eq!(send(0).pick_service(17), None);
+    assert_eq!(send(3).pick_service(17), Some(&name("a")));
 }
 
 #[test]
 fn can_split_requests_by_weight() {
-    let parts = [("a", 90), ("b", 10), ("c", 0)].map(|(service, weight)| Part {
+    let parts = [("a", 90), ("b", 10), ("c", 0)].map(|(service, weight)| Target {
         service: name(service),
         weight,
     });
-    let send = Send {
+    let send = Forward {
         services: parts.into_iter().collect(),
-        ..Send::default()
+        ..Forward::default()
     };
     let count = |wanted: &str| {
-        let drawn = (0..1000).filter(|draw| send.service(*draw) == Some(&name(wanted)));
+        let drawn = (0..1000).filter(|draw| send.pick_service(*draw) == Some(&name(wanted)));
         drawn.count()
     };
     assert_eq!([count("a"), count("b"), count("c")], [900, 100, 0]);
--- a/components/state/tests/store.rs
+++ b/components/state/tests/store.rs
@@ -5,10 +5,10 @@
 use state::config::{Config, Cost, Draft, Service};
 use state::delta::Delta;
 use state::id::{CustomerId, Epoch, Name, RequestId, ServiceId, Version};
-use state::record::{Answer, ChangeId, Known, Record, Stored};
+use state::record::{Answer, ChangeId, Record, Resolution, Stored};
 use state::secret::Hash;
-use state::store::{Store, CLAIMS_MAX, CLAIM_SECONDS, STORED_MAX};
-use state::view::{Assignment, Change, Departure, Place, Shard, Step, Taken, View};
+use state::store::{Store, CLAIMS_MAX, CLAIM_SECONDS, STORED_BYTES_MAX};
+use state::view::{Acceptance, Assignment, Change, Departure, Node, Shard, Step, View};
 
 fn name(text: &str) -> Name {
     Name::try_from(text).unwrap()
@@ -64,10 +64,10 @@
         change: Change::Departure(Departure::Vm(name("r1"), version)),
     };
     let mut view = View::default();
-    assert_eq!(view.take(&step(1)), Taken::InForce);
-    assert_eq!(view.take(&step(1)), Taken::Old);
-    assert_eq!(view.take(&step(3)), Taken::Gap);
-    assert_eq!(view.take(&step(2)), Taken::InForce);
+    assert_eq!(view.apply_step(&step(1)), Acceptance::Applied);
+    assert_eq!(view.apply_step(&step(1)), Acceptance::Stale);
+    assert_eq!(view.apply_step(&step(3)), Acceptance::Gap);
+    assert_eq!(view.apply_step(&step(2)), Acceptance::Applied);
     let older = View {
         version: Version(1),
         ..View::default()
@@ -86,7 +86,7 @@
                 region: name("main"),
                 cell: None,
             },
-            place: Place {
+            node: Node {
                 vm: name("r1"),
                 address: "127.0.0.1:1".parse().unwrap(),
             },
@@ -109,7 +109,7 @@
     }
 }
 
-fn settle(key: u8, count: u64, known: Option<Known>) -> Record {
+fn settle(key: u8, count: u64, known: Option<Resolution>) -> Record {
     Record::Settle {
         key: Hash([key; 32]),
         request: RequestId { router: 1, count },
@@ -120,19 +120,19 @@
 #[test]
 fn can_give_a_key_to_one_request_only() {
     let mut store = Store::default();
-    assert_eq!(store.apply(&claim(1, 1, 0)).0, Answer::Fresh);
+    assert_eq!(store.apply(&claim(1, 1, 0)).0, Answer::Claimed);
     // The same request asks again when it lost the answer.
-    assert_eq!(store.apply(&claim(1, 1, 0)).0, Answer::Fresh);
-    let taken = |known| Answer::Taken(Hash([9; 32]), known);
-    assert_eq!(store.apply(&claim(1, 2, 0)).0, taken(Known::Open));
-    let stored = Known::Answered(Stored {
+    assert_eq!(store.apply(&claim(1, 1, 0)).0, Answer::Claimed);
+    let taken = |known| Answer::AlreadyClaimed(Hash([9; 32]), known);
+    assert_eq!(store.apply(&claim(1, 2, 0)).0, taken(Resolution::Pending));
+    let stored = Resolution::Answered(Stored {
         status: 200,
         content_type: String::new(),
         body: None,
     });
     // Only who claimed it may settle it.
     store.apply(&settle(1, 2, Some(stored.clone())));
-    assert_eq!(store.apply(&claim(1, 2, 0)).0, taken(Known::Open));
+    assert_eq!(store.apply(&claim(1, 2, 0)).0, taken(Resolution::Pending));
     store.apply(&settle(1, 1, Some(stored.clone())));
     assert_eq!(store.apply(&claim(1, 2, 0)).0, taken(stored));
 }
@@ -142,7 +142,7 @@
     let mut store = Store::default();
     store.apply(&claim(1, 1, 0));
     store.apply(&settle(1, 1, None));
-    assert_eq!(store.apply(&claim(1, 2, 0)).0, Answer::Fresh);
+    assert_eq!(store.apply(&claim(1, 2, 0)).0, Answer::Claimed);
 }
 
 #[test]
@@ -153,7 +153,7 @@
     assert_eq!(store.claims.len(), 2);
     store.apply(&claim(3, 3, CLAIM_SECONDS));
     assert_eq!(store.claims.len(), 2);
-    assert_eq!(store.apply(&claim(1, 9, CLAIM_SECONDS)).0, Answer::Fresh);
+    assert_eq!(store.apply(&claim(1, 9, CLAIM_SECONDS)).0, Answer::Claimed);
 }
 
 #[test]
@@ -201,7 +201,7 @@
     let mut store = Store::default();
     let key = |n: u64| Hash::of(&[&n.to_be_bytes()]);
     let body = vec![7; 16 * 1024];
-    let kept = STORED_MAX / body.len();
+    let kept = STORED_BYTES_MAX / body.len();
     for n in 0..CLAIMS_MAX as u64 + 10 {
         let request = RequestId {
             router: 1,
@@ -220,7 +220,7 @@
                 content_type: String::new(),
                 body: Some(body.clone()),
             };
-            let known = Some(Known::Answered(stored));
+            let known = Some(Resolution::Answered(stored));
             store.apply(&Record::Settle {
                 key: key(n),
                 request,
@@ -230,7 +230,7 @@
     }
     assert_eq!(store.claims.len(), CLAIMS_MAX);
     let bodies = store.claims.values().filter(|c| match &c.known {
-        Known::Answered(stored) => stored.body.is_some(),
+        Resolution::Answered(stored) => stored.body.is_some(),
         _ => false,
     });
     assert_eq!(bodies.count(), kept);
--- a/components/state/tests/suspect.rs
+++ b/components/state/tests/suspect.rs
@@ -7,8 +7,9 @@
 use state::record::Record;
 use state::store::Store;
 use state::suspect::{
-    relieved, Clearance, Crash, Evidence, Standing, Standings, Successes, Suspects, CRASHES_MAX,
-    CRASHES_WATCHED, CUSTOMER_MAX, HOLD_MICROS, SUCCESS_MICROS, SUSPECTS_MAX,
+    downgraded, Completion, Crash, Evidence, Status, Statuses, Successes, Suspects,
+    CUSTOMER_SUSPECTS_MAX, QUARANTINE_CRASHES, QUARANTINE_MICROS, SUCCESS_MICROS, SUSPECTS_MAX,
+    WATCH_CRASHES,
 };
 use state::view::View;
 
@@ -39,23 +40,23 @@
     }
 }
 
-fn answered(number: u32, ms: u64) -> Clearance {
-    Clearance {
+fn answered(number: u32, ms: u64) -> Completion {
+    Completion {
         fingerprint: request(number),
         at: at_ms(ms),
     }
 }
 
 fn is_quarantined(suspects: &Suspects, number: u32) -> bool {
-    let standings = suspects.standings(1);
-    standings.get(&request(number)) == Some(&Standing::Quarantined)
+    let statuses = suspects.statuses(1);
+    statuses.get(&request(number)) == Some(&Status::Quarantined)
 }
 
 /// Suspects after request 1 has crashed endpoints so often, a second apart.
 fn crashed(times: u32) -> Suspects {
     let mut suspects = Suspects::default();
     for n in 0..u64::from(times) {
-        suspects.crashed(&crash(1, n * 1000, n * 1000 + 100));
+        suspects.record_crash(&crash(1, n * 1000, n * 1000 + 100));
     }
     suspects
 }
@@ -64,8 +65,8 @@
 /// quarantine after fewer.
 #[test]
 fn can_quarantine_a_request_after_three_crashes() {
-    assert!(!is_quarantined(&crashed(CRASHES_MAX - 1), 1));
-    assert!(is_quarantined(&crashed(CRASHES_MAX), 1));
+    assert!(!is_quarantined(&crashed(QUARANTINE_CRASHES - 1), 1));
+    assert!(is_quarantined(&crashed(QUARANTINE_CRASHES), 1));
 }
 
 /// Guards against the quarantine of a popular request, in progress at several endpoints
@@ -74,7 +75,7 @@
 fn can_tell_crashes_at_one_moment_from_crashes_in_a_row() {
     let mut suspects = Suspects::default();
     for n in 0..20 {
-        suspects.crashed(&crash(1, n, 500 + n));
+        suspects.record_crash(&crash(1, n, 500 + n));
     }
     assert!(!is_quarantined(&suspects, 1));
 }
@@ -82,10 +83,10 @@
 /// Guards against one crash that counts twice, reported again to the next leader.
 #[test]
 fn can_hear_of_a_crash_twice() {
-    let mut suspects = crashed(CRASHES_MAX - 1);
-    let last = u64::from(CRASHES_MAX - 2) * 1000;
+    let mut suspects = crashed(QUARANTINE_CRASHES - 1);
+    let last = u64::from(QUARANTINE_CRASHES - 2) * 1000;
     for _ in 0..10 {
-        suspects.crashed(&crash(1, last, last + 100));
+        suspects.record_crash(&crash(1, last, last + 100));
     }
     assert!(!is_quarantined(&suspects, 1));
 }
@@ -95,9 +96,9 @@
 fn can_clear_a_request_that_is_answered_between_crashes() {
     let mut suspects = Suspects::default();
     for n in 0..30 {
-        suspects.crashed(&crash(1, n * 1000, n * 1000 + 100));
+        suspects.record_crash(&crash(1, n * 1000, n * 1000 + 100));
         if n % 2 == 1 {
-            suspects.cleared(&answered(1, n * 1000 + 500));
+            suspects.record_completion(&answered(1, n * 1000 + 500));
         }
         assert!(!is_quarantined(&suspects, 1), "crash {n}");
     }
@@ -106,11 +107,11 @@
 /// Guards against an answer that clears a request of crashes after it.
 #[test]
 fn can_tell_an_answer_that_ended_before_the_last_crash() {
-    let mut suspects = crashed(CRASHES_MAX);
-    let last = u64::from(CRASHES_MAX - 1) * 1000 + 100;
-    suspects.cleared(&answered(1, last));
+    let mut suspects = crashed(QUARANTINE_CRASHES);
+    let last = u64::from(QUARANTINE_CRASHES - 1) * 1000 + 100;
+    suspects.record_completion(&answered(1, last));
     assert!(is_quarantined(&suspects, 1));
-    suspects.cleared(&answered(1, last + 1));
+    suspects.record_completion(&answered(1, last + 1));
     assert!(suspects.is_empty());
 }
 
@@ -118,50 +119,51 @@
 /// still crashes endpoints.
 #[test]
 fn can_end_a_quarantine_and_bring_it_back_for_longer() {
-    let mut suspects = crashed(CRASHES_MAX);
-    let mut last_ms = u64::from(CRASHES_MAX - 1) * 1000 + 100;
+    let mut suspects = crashed(QUARANTINE_CRASHES);
+    let mut last_ms = u64::from(QUARANTINE_CRASHES - 1) * 1000 + 100;
     for doubled in 0..4 {
-        let hold_ms = (HOLD_MICROS / 1000) << doubled;
+        let hold_ms = (QUARANTINE_MICROS / 1000) << doubled;
         let end_ms = last_ms + hold_ms;
         suspects.expire((end_ms - 1) * 1000);
         assert!(is_quarantined(&suspects, 1), "quarantine {doubled}");
         suspects.expire(end_ms * 1000);
         assert!(!is_quarantined(&suspects, 1), "quarantine {doubled}");
         last_ms = end_ms + 10;
-        suspects.crashed(&crash(1, end_ms + 5, last_ms));
+        suspects.record_crash(&crash(1, end_ms + 5, last_ms));
         assert!(is_quarantined(&suspects, 1), "quarantine {doubled}");
     }
 }
 
 #[rstest]
-#[case::suspicion(CRASHES_MAX - 1, 1)]
-#[case::quarantine(CRASHES_MAX, 4)]
+#[case::suspicion(QUARANTINE_CRASHES - 1, 1)]
+#[case::quarantine(QUARANTINE_CRASHES, 4)]
 fn can_forget_a_request_that_crashes_nothing_more(#[case] crashes: u32, #[case] holds: u64) {
     let mut suspects = crashed(crashes);
     let ended = u64::from(crashes) * 1_000_000;
-    suspects.expire(ended + HOLD_MICROS);
-    suspects.expire(ended + (holds + 1) * HOLD_MICROS);
+    suspects.expire(ended + QUARANTINE_MICROS);
+    suspects.expire(ended + (holds + 1) * QUARANTINE_MICROS);
     assert!(suspects.is_empty());
 }
 
 /// Guards against a caller that drives suspects of others out by many bodies that fail once.
 #[test]
 fn can_bound_suspects_of_one_customer_and_of_all() {
-    let mut suspects = crashed(CRASHES_MAX);
+    let mut suspects = crashed(QUARANTINE_CRASHES);
     for customer in 2..40 {
         for n in 0..500 {
-            suspects.crashed(&Crash {
+            suspects.record_crash(&Crash {
                 customer: CustomerId(customer),
                 ..crash(1000 * customer + n, 5000, 5001 + u64::from(n))
             });
         }
-        let most = (CUSTOMER_MAX * usize::try_from(customer - 1).unwrap() + 1).min(SUSPECTS_MAX);
+        let most =
+            (CUSTOMER_SUSPECTS_MAX * usize::try_from(customer - 1).unwrap() + 1).min(SUSPECTS_MAX);
         assert_eq!(suspects.len(), most);
     }
     assert!(is_quarantined(&suspects, 1));
 }
 
-fn report(at: u64, crashes: Vec<Crash>, cleared: Vec<Clearance>) -> Record {
+fn report(at: u64, crashes: Vec<Crash>, cleared: Vec<Completion>) -> Record {
     Record::Suspects {
         at: at_ms(at),
         evidence: Evidence { crashes, cleared },
@@ -172,25 +174,25 @@
 #[test]
 fn can_exonerate_a_request_that_was_answered_of_late() {
     let mut successes = Successes::default();
-    assert!(!successes.exonerate(&crash(1, 0, 100)));
-    successes.answered(&answered(1, 50));
-    assert!(successes.exonerate(&crash(1, 40, 100)));
-    assert!(!successes.exonerate(&crash(2, 40, 100)));
+    assert!(!successes.rules_out(&crash(1, 0, 100)));
+    successes.record(&answered(1, 50));
+    assert!(successes.rules_out(&crash(1, 40, 100)));
+    assert!(!successes.rules_out(&crash(2, 40, 100)));
     let over_ms = 50 + SUCCESS_MICROS / 1000;
-    assert!(successes.exonerate(&crash(1, over_ms - 10, over_ms)));
-    assert!(!successes.exonerate(&crash(1, over_ms - 10, over_ms + 1)));
+    assert!(successes.rules_out(&crash(1, over_ms - 10, over_ms)));
+    assert!(!successes.rules_out(&crash(1, over_ms - 10, over_ms + 1)));
     // The oldest give way.
-    (2..10_000).for_each(|n| successes.answered(&answered(n, 60)));
-    assert!(!successes.exonerate(&crash(1, 40, 100)));
-    assert!(successes.exonerate(&crash(9999, 40, 100)));
+    (2..10_000).for_each(|n| successes.record(&answered(n, 60)));
+    assert!(!successes.rules_out(&crash(1, 40, 100)));
+    assert!(successes.rules_out(&crash(9999, 40, 100)));
 }
 
 /// Guards against a router that forgets what it has seen itself once all routers watch.
 #[test]
 fn can_tell_who_is_suspected_less() {
-    let nobody = Standings::new();
-    let watched = Standings::from([(request(1), Standing::Watched)]);
-    let quarantined = Standings::from([(request(1), Standing::Quarantined)]);
+    let nobody = Statuses::new();
+    let watched = Statuses::from([(request(1), Status::Watched)]);
+    let quarantined = Statuses::from([(request(1), Status::Quarantined)]);
     for (old, new, is_relieved) in [
         (&nobody, &watched, false),
         (&watched, &watched, false),
@@ -199,7 +201,7 @@
         (&watched, &nobody, true),
         (&quarantined, &nobody, true),
     ] {
-        assert_eq!(relieved(old, new).len(), usize::from(is_relieved));
+        assert_eq!(downgraded(old, new).len(), usize::from(is_relieved));
     }
 }
 
@@ -230,7 +232,7 @@
     let mut versions = Vec::new();
     let mut apply = |record: &Record, store: &mut Store| {
         if let (_, Some(step)) = store.apply(record) {
-            view.take(&step);
+            view.apply_step(&step);
             versions.push((step.version, view.suspects.get(&request(1)).copied()));
         }
         assert_eq!(view, store.view);
@@ -243,8 +245,8 @@
         &report(9000, Vec::new(), vec![answered(1, 8990)]),
         &mut store,
     );
-    let standings: Vec<Option<Standing>> = versions.iter().map(|(_, s)| *s).collect();
-    let expected = [Some(Standing::Watched), Some(Standing::Quarantined), None];
-    assert_eq!(standings, expected);
-    assert_eq!(CRASHES_WATCHED, 2);
+    let statuses: Vec<Option<Status>> = versions.iter().map(|(_, s)| *s).collect();
+    let expected = [Some(Status::Watched), Some(Status::Quarantined), None];
+    assert_eq!(statuses, expected);
+    assert_eq!(WATCH_CRASHES, 2);
 }
--- a/components/transport/src/disk.rs
+++ b/components/transport/src/disk.rs
@@ -6,10 +6,10 @@
 
 use crate::frame::{self, Read};
 use crate::wal::{self, Item};
-use coordination::agree::{Entry, Hard, Index, Ready, Snapshot, Start, Term};
+use coordination::consensus::{Ballot, Entry, Index, Ready, Recovery, Snapshot, Term};
 use errors::{Error, Result};
 use serde::{Deserialize, Serialize};
-use state::record::{Disk, Members};
+use state::record::{DiskId, Members};
 use std::fs::{self, File, OpenOptions};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
-    identity: Disk,
+    identity: DiskId,
     generation: u64,
     log: File,
     length: u64,
@@ -51,13 +51,13 @@
     /// # Errors
     ///
     /// When files cannot be read or written, or are damaged.
-    pub fn open(path: &Path, fresh: Disk) -> Result<(Self, Start)> {
+    pub fn open(path: &Path, fresh: DiskId) -> Result<(Self, Recovery)> {
         fs::create_dir_all(path).map_err(Error::file("make the data folder", path))?;
         let identity = identity(path, fresh)?;
         let (generation, start, whole) = match newest(path)? {
             Some(generation) => read_generation(path, generation)?,
             None => {
-                write_generation(path, 0, &Snapshot::default(), Hard::default(), &[])?;
+                write_generation(path, 0, &Snapshot::default(), Ballot::default(), &[])?;
                 read_generation(path, 0)?
             }
         };
@@ -87,7 +87,7 @@
     }
 
     /// Identity of the disk.
-    pub fn identity(&self) -> Disk {
+    pub fn identity(&self) -> DiskId {
         self.identity
     }
 
@@ -130,15 +130,15 @@
     ///
     /// When the disk refuses; the process must end then, since it can no
     /// longer know what is safe.
-    pub fn write(&mut self, ready: &Ready, hard: Hard) -> Result<()> {
+    pub fn write(&mut self, ready: &Ready, hard: Ballot) -> Result<()> {
         if let Some(snapshot) = &ready.install {
-            self.renew(snapshot, ready.hard.unwrap_or(hard), &ready.append)?;
+            self.renew(snapshot, ready.ballot.unwrap_or(hard), &ready.append)?;
             return Ok(());
         }
         let mut items = Vec::new();
-        items.extend(ready.cut.map(Item::Cut));
+        items.extend(ready.truncate_from.map(Item::Cut));
         items.extend(ready.append.iter().cloned().map(Item::Entry));
-        items.extend(ready.hard.map(Item::Hard));
+        items.extend(ready.ballot.map(Item::Hard));
         if items.is_empty() {
             return Ok(());
         }
@@ -169,7 +169,7 @@
     /// # Errors
     ///
     /// When files cannot be written.
-    pub fn renew(&mut self, snapshot: &Snapshot, hard: Hard, tail: &[Entry]) -> Result<()> {
+    pub fn renew(&mut self, snapshot: &Snapshot, hard: Ballot, tail: &[Entry]) -> Result<()> {
         let next = self.generation + 1;
         self.length = write_generation(&self.path, next, snapshot, hard, tail)?;
         // CAST: `usize` is at most 64 bits on every supported target.
@@ -198,7 +198,7 @@
 /// File that says that this disk was there when the fleet first started.
 const FIRST: &str = "first-start";
 
-fn identity(path: &Path, fresh: Disk) -> Result<Disk> {
+fn identity(path: &Path, fresh: DiskId) -> Result<DiskId> {
     let file = path.join("disk");
     match fs::read(&file) {
         Ok(bytes) => {
@@ -223,13 +223,13 @@
     }
 }
 
-fn read_generation(path: &Path, generation: u64) -> Result<(u64, Start, u64)> {
+fn read_generation(path: &Path, generation: u64) -> Result<(u64, Recovery, u64)> {
     let snapshot = read_snapshot(&snapshot_path(path, generation))?;
     let log = log_path(path, generation);
     let bytes = fs::read(&log).map_err(Error::file("read the log", &log))?;
     let content = wal::decode(&log, &bytes)?;
-    let start = Start {
-        hard: content.hard,
+    let start = Recovery {
+        ballot: content.hard,
         snapshot,
         entries: content.entries,
     };
@@ -262,7 +262,7 @@
     path: &Path,
     generation: u64,
     snapshot: &Snapshot,
-    hard: Hard,
+    hard: Ballot,
     tail: &[Entry],
 ) -> Result<u64> {
     let head = Head {
--- a/components/transport/src/link.rs
+++ b/components/transport/src/link.rs
@@ -13,7 +13,7 @@
 use rustls_pki_types::CertificateDer;
 use state::id::Name;
 use state::line::Line;
-use state::view::Place;
+use state::view::Node;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -273,7 +273,7 @@
     }
 
     /// Keeps a link to a peer open from now on.
-    pub fn dial(&self, place: &Place) {
+    pub fn dial(&self, place: &Node) {
         if place.vm == self.inner.hello.place.vm {
             return;
         }
@@ -411,7 +411,7 @@
         }
     }
 
-    async fn keep_open(self, place: Place) {
+    async fn keep_open(self, place: Node) {
         loop {
             let linked = self.is_up(&place.vm) || self.inner.table().cut.contains(&place.vm);
             if !linked {
@@ -426,7 +426,7 @@
         }
     }
 
-    async fn open(&self, place: &Place) -> Result<Task> {
+    async fn open(&self, place: &Node) -> Result<Task> {
         let step = "open a link";
         let connecting = self
             .inner
--- a/components/transport/src/wal.rs
+++ b/components/transport/src/wal.rs
@@ -1,7 +1,7 @@
 //! The write-ahead log of one generation: batches of items, each one synced.
 
 use crate::frame::{self, Read};
-use coordination::agree::{Entry, Hard, Index};
+use coordination::consensus::{Ballot, Entry, Index};
 use errors::{Error, Result};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
@@ -15,14 +15,14 @@
     /// An entry.
     Entry(Entry),
     /// Term and vote.
-    Hard(Hard),
+    Hard(Ballot),
 }
 
 /// What a log holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Content {
     /// Latest term and vote.
-    pub hard: Hard,
+    pub hard: Ballot,
     /// Entries in order.
     pub entries: Vec<Entry>,
     /// Bytes that are whole; what follows is a torn tail.
--- a/components/transport/tests/disk.rs
+++ b/components/transport/tests/disk.rs
@@ -1,11 +1,11 @@
 //! The data folder and its log under damage.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
-use coordination::agree::{Entry, Hard, Index, Ready, Snapshot, Start, Term};
+use coordination::consensus::{Ballot, Entry, Index, Ready, Recovery, Snapshot, Term};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use state::config::Draft;
-use state::record::{Disk, Record, Release};
+use state::record::{DiskId, Record, Release};
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -16,7 +16,7 @@
     Entry {
         term: Term(1),
         index: Index(index),
-        record: Record::Blank,
+        record: Record::NoOp,
     }
 }
 
@@ -27,8 +27,8 @@
     }
 }
 
-fn open(path: &Path) -> (Folder, Start) {
-    Folder::open(path, Disk(7)).unwrap()
+fn open(path: &Path) -> (Folder, Recovery) {
+    Folder::open(path, DiskId(7)).unwrap()
 }
 
 fn log(path: &Path) -> PathBuf {
@@ -41,24 +41,24 @@
 fn can_read_back_what_was_written() {
     let folder = tempfile::tempdir().unwrap();
     let (mut disk, start) = open(folder.path());
-    assert_eq!(start, Start::default());
-    disk.write(&append(1..=3), Hard::default()).unwrap();
-    let hard = Hard {
+    assert_eq!(start, Recovery::default());
+    disk.write(&append(1..=3), Ballot::default()).unwrap();
+    let hard = Ballot {
         term: Term(2),
-        vote: Some(Disk(9)),
+        vote: Some(DiskId(9)),
     };
     let ready = Ready {
-        cut: Some(Index(3)),
+        truncate_from: Some(Index(3)),
         append: vec![entry(3), entry(4)],
-        hard: Some(hard),
+        ballot: Some(hard),
         ..Ready::default()
     };
     disk.write(&ready, hard).unwrap();
     drop(disk);
-    let (disk, start) = Folder::open(folder.path(), Disk(8)).unwrap();
+    let (disk, start) = Folder::open(folder.path(), DiskId(8)).unwrap();
     // The identity is that of the first start.
-    assert_eq!(disk.identity(), Disk(7));
-    assert_eq!(start.hard, hard);
+    assert_eq!(disk.identity(), DiskId(7));
+    assert_eq!(start.ballot, hard);
     assert_eq!(start.entries, (1..=4).map(entry).collect::<Vec<_>>());
 }
 
@@ -66,16 +66,16 @@
 fn can_go_on_from_a_snapshot() {
     let folder = tempfile::tempdir().unwrap();
     let (mut disk, _) = open(folder.path());
-    disk.write(&append(1..=9), Hard::default()).unwrap();
+    disk.write(&append(1..=9), Ballot::default()).unwrap();
     let snapshot = Snapshot {
         index: Index(7),
         term: Term(1),
         bytes: Arc::new(b"state".to_vec()),
         ..Snapshot::default()
     };
-    disk.renew(&snapshot, Hard::default(), &[entry(8), entry(9)])
+    disk.renew(&snapshot, Ballot::default(), &[entry(8), entry(9)])
         .unwrap();
-    disk.write(&append(10..=10), Hard::default()).unwrap();
+    disk.write(&append(10..=10), Ballot::default()).unwrap();
     drop(disk);
     let (_, start) = open(folder.path());
     assert_eq!(start.snapshot, snapshot);
@@ -92,9 +92,9 @@
     // Cause: a batch that is neither whole nor absent.
     let folder = tempfile::tempdir().unwrap();
     let (mut disk, _) = open(folder.path());
-    disk.write(&append(1..=2), Hard::default()).unwrap();
+    disk.write(&append(1..=2), Ballot::default()).unwrap();
     let whole = disk.length();
-    disk.write(&append(3..=5), Hard::default()).unwrap();
+    disk.write(&append(3..=5), Ballot::default()).unwrap();
     drop(disk);
     let file = log(folder.path());
     let bytes = fs::read(&file).unwrap();
@@ -102,7 +102,7 @@
         fs::write(&file, &bytes[..cut]).unwrap();
         let (mut disk, start) = open(folder.path());
         assert_eq!(start.entries.len(), 2, "cut at {cut}");
-        disk.write(&append(3..=3), Hard::default()).unwrap();
+        disk.write(&append(3..=3), Ballot::default()).unwrap();
         drop(disk);
         assert_eq!(open(folder.path()).1.entries.len(), 3);
     }
@@ -188,7 +188,7 @@
     let folder = tempfile::tempdir().unwrap();
     drop(open(folder.path()));
     fs::remove_file(folder.path().join("disk")).unwrap();
-    let error = Folder::open(folder.path(), Disk(1))
+    let error = Folder::open(folder.path(), DiskId(1))
         .unwrap_err()
         .to_string();
     assert!(error.contains("joins as a learner"), "{error}");
@@ -217,7 +217,7 @@
             append: vec![change(changes)],
             ..Ready::default()
         };
-        disk.write(&ready, Hard::default()).unwrap();
+        disk.write(&ready, Ballot::default()).unwrap();
     }
     assert!(changes <= 4, "{changes}");
 }
@@ -233,10 +233,10 @@
         bytes: Arc::new(vec![1; 100_000]),
         ..Snapshot::default()
     };
-    disk.renew(&snapshot, Hard::default(), &[]).unwrap();
+    disk.renew(&snapshot, Ballot::default(), &[]).unwrap();
     let mut last = 1;
     while disk.length() < 90_000 {
-        disk.write(&append(last + 1..=last + 500), Hard::default())
+        disk.write(&append(last + 1..=last + 500), Ballot::default())
             .unwrap();
         last += 500;
         assert!(!disk.wants_snapshot(), "at {} bytes", disk.length());
--- a/components/transport/tests/link.rs
+++ b/components/transport/tests/link.rs
@@ -4,7 +4,7 @@
 use protocol::wire::{Hello, Message, Query};
 use state::id::{Epoch, Name, Version};
 use state::record::ChangeId;
-use state::view::Place;
+use state::view::Node;
 use std::time::Duration;
 use transport::clock::Clock;
 use transport::key::{authority, issue, Keys, Pair};
@@ -13,7 +13,7 @@
 struct Side {
     hub: Hub,
     events: flume::Receiver<Event>,
-    place: Place,
+    place: Node,
 }
 
 fn name(text: &str) -> Name {
@@ -25,7 +25,7 @@
     let keys = Keys::from_pem(&authority.certificate, &pair).unwrap();
     let any = "127.0.0.1:0".parse().unwrap();
     let socket = Socket::bind(any, &keys, Timing::default()).unwrap();
-    let place = Place {
+    let place = Node {
         vm: name(claims),
         address: socket.address().unwrap(),
     };
--- a/src/cmd/timeline.rs
+++ b/src/cmd/timeline.rs
@@ -163,6 +163,6 @@
 
 /// Name of an event's step.
 pub(crate) fn step(event: &Event) -> String {
-    let value = serde_json::to_value(event.step).unwrap_or_default();
+    let value = serde_json::to_value(event.kind).unwrap_or_default();
     value.as_str().unwrap_or("").to_owned()
 }
