--- a/components/coordination/src/lib.rs
+++ b/components/coordination/src/lib.rs
@@ -4,12 +4,12 @@
 //! random number, so that every decision can be driven by a test.
 
 pub mod admission;
-pub mod agree;
 pub mod assignment;
 pub mod backoff;
 pub mod budget;
 pub mod candidacy;
 pub mod cell;
+pub mod consensus;
 pub mod dispatcher;
 pub mod engine;
 pub mod failback;
