--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -2,7 +2,7 @@
 
 use crate::input::Input as ReactorInput;
 use crate::journal::Journal;
-use crate::metric::{value, Metrics};
+use crate::metric::{gauge_value, Metrics};
 use coordination::agree::{Admission, Core, Index, Ready, Refusal, Role, Snapshot, Term};
 use coordination::assignment::{Assigner, Site};
 use errors::{Error, Result};
@@ -540,7 +540,7 @@
     fn measure(&self) {
         let set = |what, number| {
             let gauge = self.parts.metrics.control.with_label_values(&[what]);
-            gauge.set(value(number));
+            gauge.set(gauge_value(number));
         };
         set("term", self.core.term().0);
         set("accepted", self.core.commit().0);
--- a/components/node/src/front/admit.rs
+++ b/components/node/src/front/admit.rs
@@ -4,7 +4,7 @@
 use super::note::Note;
 use super::refusal::Refusal;
 use super::upstream::Call;
-use crate::interface::Asked;
+use crate::interface::Inbound;
 use crate::shared::Published;
 use bytes::{Bytes, BytesMut};
 use coordination::intake::Intake;
@@ -37,8 +37,8 @@
     published: &Published,
     head: &Parts,
     note: &mut Note,
-) -> Result<Asked, Refusal> {
-    let asked = (front.parts.interface.ask)(head);
+) -> Result<Inbound, Refusal> {
+    let asked = (front.parts.interface.parse_request)(head);
     if let Ok(asked) = &asked {
         // First of all: a refused request must be found by its caller's identity too.
         note.identify(asked.identity.clone());
@@ -71,7 +71,7 @@
 /// moved on in time. Refused at once they come back to another router, and the
 /// processor stays with those that were let in.
 fn check_lateness(front: &Front, id: RequestId) -> Result<(), Refusal> {
-    if front.parts.lateness.request() == Intake::Take {
+    if front.parts.lateness.admit_request() == Intake::Take {
         return Ok(());
     }
     let text = "this router has more to do than it can in time; another one may have room";
@@ -88,7 +88,7 @@
 /// it is gone.
 pub(super) fn check_proof(front: &Front, published: &Published) -> Result<(), Refusal> {
     let now = front.parts.clock.now();
-    let age = published.proof.map_or(u64::MAX, |at| now.since(at));
+    let age = published.verified_at.map_or(u64::MAX, |at| now.since(at));
     match front.parts.stale_ms {
         Some(bound) if age > bound => {
             let text = "this router is cut off from control for longer than allowed";
--- a/components/node/src/front/claim.rs
+++ b/components/node/src/front/claim.rs
@@ -4,7 +4,7 @@
 use super::refusal::{insert, Refusal, OUTCOME};
 use super::upstream::Call;
 use crate::input::Input;
-use crate::interface::IDENTITY;
+use crate::interface::REQUEST_ID;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Response, StatusCode};
@@ -128,7 +128,7 @@
             let headers = response.headers_mut();
             insert(headers, "content-type", &content_type);
             insert(headers, OUTCOME, Outcome::Answered.as_str());
-            insert(headers, IDENTITY, &id.to_string());
+            insert(headers, REQUEST_ID, &id.to_string());
             insert(headers, "cowslipford-replayed", "yes");
             Ok(Claimed::Earlier(Box::new(response)))
         }
--- a/components/node/src/front/delivery.rs
+++ b/components/node/src/front/delivery.rs
@@ -53,7 +53,13 @@
             at: self.front.parts.clock.stamp(),
         };
         self.front.successes().answered(&clearance);
-        if !self.front.parts.verdicts.borrow().knows(&self.fingerprint) {
+        if !self
+            .front
+            .parts
+            .verdicts
+            .borrow()
+            .contains(&self.fingerprint)
+        {
             return;
         }
         let _ = self.front.parts.reactor.send(Input::Cleared(clearance));
--- a/components/node/src/front/listen.rs
+++ b/components/node/src/front/listen.rs
@@ -9,10 +9,10 @@
 use crate::input::Input;
 use crate::interface::Interface;
 use crate::journal::Journal;
-use crate::metric::{value, Metrics};
-use crate::quarantine::Verdicts;
-use crate::shared::{raised, Published};
-use crate::vitals::{Lateness, PROBE};
+use crate::metric::{gauge_value, Metrics};
+use crate::monitor::{Lateness, PROBE_INTERVAL};
+use crate::quarantine::Suspicions;
+use crate::shared::{cancelled, Published};
 use coordination::budget::Budget;
 use coordination::intake::Intake;
 use coordination::limit::Ceiling;
@@ -82,7 +82,7 @@
     /// What is in force.
     pub(crate) published: watch::Receiver<Published>,
     /// What is done with requests that may crash endpoints.
-    pub(crate) verdicts: watch::Receiver<Arc<Verdicts>>,
+    pub(crate) verdicts: watch::Receiver<Arc<Suspicions>>,
 }
 
 /// The callers' side.
@@ -166,7 +166,7 @@
         loop {
             tokio::select! {
                 _ = period.tick() => {}
-                () = raised(&mut stop) => return,
+                () = cancelled(&mut stop) => return,
             }
             let view = self.parts.published.borrow().view.clone();
             let lives = |(id, address): &Key| {
@@ -185,26 +185,28 @@
 
     fn measure(&self) {
         let metrics = &self.parts.metrics;
-        metrics.kept.set(value(self.pool.len()));
+        metrics.idle_connections.set(gauge_value(self.pool.len()));
         let free = self.bodies.available_permits();
         let taken = self.body_units.saturating_sub(free) * BODY_UNIT;
-        metrics.body_bytes.set(value(taken));
-        metrics.inputs.set(value(self.parts.reactor.len()));
+        metrics.body_bytes.set(gauge_value(taken));
+        metrics
+            .queued_inputs
+            .set(gauge_value(self.parts.reactor.len()));
     }
 
     /// The next connection that is let in; while tasks run late others are closed unread.
     async fn next(&self, listener: &TcpListener) -> TcpStream {
         loop {
             if !self.parts.lateness.may_accept() {
-                tokio::time::sleep(PROBE).await;
+                tokio::time::sleep(PROBE_INTERVAL).await;
                 continue;
             }
             let stream = accept(listener).await;
-            if self.parts.lateness.connection() == Intake::Take {
+            if self.parts.lateness.admit_connection() == Intake::Take {
                 return stream;
             }
             // Its task would run after all that is late.
-            self.parts.metrics.turned_away.inc();
+            self.parts.metrics.closed_unread.inc();
         }
     }
 
@@ -232,11 +234,11 @@
             let stream = tokio::select! {
                 stream = self.next(&listener) => stream,
                 Some(_) = tasks.join_next() => continue,
-                () = raised(&mut stop) => break,
+                () = cancelled(&mut stop) => break,
             };
             let Some(place) = self.place().await else {
                 // Past the bound a connection is closed at once: it costs nothing.
-                self.parts.metrics.turned_away.inc();
+                self.parts.metrics.closed_unread.inc();
                 continue;
             };
             let (front, stop) = (self.clone(), stop.clone());
@@ -253,7 +255,7 @@
         // Small events must not wait for more of them.
         let _ = stream.set_nodelay(true);
         self.parts.metrics.connections.inc();
-        self.parts.metrics.accepted.inc();
+        self.parts.metrics.accepted_connections.inc();
         let place = Arc::new(self.guests.open());
         let (front, of) = (self.clone(), place.clone());
         let service = service_fn(move |request| {
@@ -280,7 +282,7 @@
         tokio::pin!(connection);
         let ended = tokio::select! {
             ended = connection.as_mut() => Some(ended),
-            () = raised(&mut stop) => None,
+            () = cancelled(&mut stop) => None,
             () = Place::until_told(&place) => None,
             () = Place::until_unread(&place) => Some(Ok(())),
         };
--- a/components/node/src/front/note.rs
+++ b/components/node/src/front/note.rs
@@ -50,7 +50,7 @@
     /// Its task ends wherever it stands: one would find a request in the logs that was
     /// sent and never ended.
     fn drop(&mut self) {
-        self.metrics.here.dec();
+        self.metrics.open_requests.dec();
         if !self.is_told {
             let outcome = match self.tries {
                 0 => Outcome::NotRun,
@@ -70,8 +70,8 @@
         published: &Published,
         metrics: Metrics,
     ) -> Self {
-        metrics.here.inc();
-        metrics.asked.inc();
+        metrics.open_requests.inc();
+        metrics.request_heads.inc();
         Note {
             id,
             metrics,
@@ -79,7 +79,7 @@
             began,
             version: published.view.version.0,
             release: published.view.release,
-            proof_ms: published.proof.map(|at| now.since(at)),
+            proof_ms: published.verified_at.map(|at| now.since(at)),
             rule: None,
             customer: None,
             service: None,
@@ -113,7 +113,7 @@
     pub(crate) fn dispatch(&mut self, dispatch: &Dispatch, fingerprint: Fingerprint) {
         self.tries += 1;
         self.fingerprint = Some(fingerprint);
-        self.metrics.sent.inc();
+        self.metrics.attempts.inc();
         self.waited.get_or_insert_with(|| self.began.elapsed());
         self.endpoint = Some(dispatch.name.clone());
         let Placement {
@@ -175,7 +175,7 @@
     /// The router answers in place of an endpoint, and only counts it.
     pub(crate) fn refused_untold(&mut self, refusal: &Refusal) {
         self.is_told = true;
-        self.metrics.untold.inc();
+        self.metrics.unlogged_refusals.inc();
         let outcome = refusal.outcome.as_str();
         self.count(self.began.elapsed(), None, outcome, refusal.code);
     }
@@ -187,7 +187,7 @@
             outcome,
             reason,
         };
-        self.metrics.ended(took, first, labels);
+        self.metrics.record_end(took, first, labels);
     }
 
     /// An endpoint's answer has ended, or was cut.
--- a/components/node/src/front/plan.rs
+++ b/components/node/src/front/plan.rs
@@ -4,7 +4,7 @@
 use super::listen::Front;
 use super::refusal::Refusal;
 use super::upstream::Call;
-use crate::interface::Asked;
+use crate::interface::Inbound;
 use crate::shared::Published;
 use bytes::Bytes;
 use coordination::ask::Class;
@@ -52,7 +52,7 @@
 pub(super) fn plan(
     front: &Front,
     published: &Published,
-    asked: &Asked,
+    asked: &Inbound,
     call: &mut Call,
 ) -> Result<Plan, Refusal> {
     let config = &published.view.config;
@@ -83,7 +83,7 @@
     let found = found.and_then(|id| Some((id, config.services.get(&id)?)));
     let (service_id, settings) = found.ok_or_else(no_endpoint)?;
     let timeout = Duration::from_millis(send.timeout_ms.unwrap_or(settings.timeout_ms));
-    let timeout = asked.patience.map_or(timeout, |p| p.min(timeout));
+    let timeout = asked.timeout.map_or(timeout, |p| p.min(timeout));
     let prompt = prompt(asked, settings, call);
     let class = Class {
         customer: known.map_or(ANONYMOUS, |(id, _)| id),
@@ -137,7 +137,7 @@
 fn decide<'a>(
     front: &Front,
     published: &'a Published,
-    asked: &Asked,
+    asked: &Inbound,
     call: &Call,
     customer: Option<&Name>,
 ) -> Result<(u16, &'a Rule), Refusal> {
@@ -195,7 +195,7 @@
 }
 
 /// Expected cost, in units of the service.
-fn hint(asked: &Asked, service: &Service, prompt: &Prompt) -> u32 {
+fn hint(asked: &Inbound, service: &Service, prompt: &Prompt) -> u32 {
     match service.cost {
         Cost::Request => 1,
         Cost::Event | Cost::Time => asked.size.unwrap_or(service.estimate).max(1),
@@ -211,7 +211,7 @@
 
 /// What is known of the prompt; the start of the body stands in for it where the
 /// caller says nothing.
-fn prompt(asked: &Asked, service: &Service, call: &Call) -> Prompt {
+fn prompt(asked: &Inbound, service: &Service, call: &Call) -> Prompt {
     if asked.prompt.first() == 0 {
         return Prompt::of_prefix(prefix(&call.body));
     }
--- a/components/node/src/front/refusal.rs
+++ b/components/node/src/front/refusal.rs
@@ -1,6 +1,6 @@
 //! Answers that the router gives itself.
 
-use crate::interface::{Interface, IDENTITY};
+use crate::interface::{Interface, REQUEST_ID};
 use bytes::Bytes;
 use coordination::ask;
 use http_body_util::Full;
@@ -73,11 +73,11 @@
             "request": id.to_string(),
         });
         let mut response = Response::new(Full::new(Bytes::from(format!("{body}\n"))));
-        *response.status_mut() = (interface.status)(self.status, self.outcome);
+        *response.status_mut() = (interface.map_status)(self.status, self.outcome);
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         headers.insert(OUTCOME, HeaderValue::from_static(self.outcome.as_str()));
-        insert(headers, IDENTITY, &id.to_string());
+        insert(headers, REQUEST_ID, &id.to_string());
         if let Some(time) = self.retry_after {
             // Whole seconds where they are whole: not every caller reads fractions.
             let text = match time.subsec_millis() {
--- a/components/node/src/front/relay.rs
+++ b/components/node/src/front/relay.rs
@@ -6,7 +6,7 @@
 use super::pool::{Connection, Key, Pool};
 use crate::input::Input;
 use crate::journal::Journal;
-use crate::vitals::Lateness;
+use crate::monitor::Lateness;
 use bytes::Bytes;
 use coordination::ask::Verdict;
 use coordination::dispatcher::Handle;
@@ -192,7 +192,7 @@
         if !std::mem::replace(&mut self.has_begun, true) {
             let took_ms = u32::try_from(self.slot.cost.began.elapsed().as_millis()).ok();
             let took_ms = took_ms.filter(|_| !self.lateness.is_late());
-            let began = Input::Began(self.slot.handle, took_ms);
+            let began = Input::FirstByte(self.slot.handle, took_ms);
             // The reactor ends only together with this process.
             let _ = self.slot.reactor.send(began);
         }
--- a/components/node/src/front/serve.rs
+++ b/components/node/src/front/serve.rs
@@ -10,7 +10,7 @@
 use super::relay::{Kept, Meter, Relay, Slot, Way};
 use super::upstream::{self, Answer, Call, Failed};
 use crate::input::{Decided, Decision, Dispatch, Input};
-use crate::interface::IDENTITY;
+use crate::interface::REQUEST_ID;
 use crate::shared::Published;
 use bytes::Bytes;
 use coordination::ask::Verdict;
@@ -104,7 +104,7 @@
 /// sent on it: one would see the request fail that could have been served.
 fn last(front: &Front, mut reply: Reply, is_busy: bool, is_refused: bool) -> Reply {
     let is_scarce = front.parts.budget.is_scarce(front.connections());
-    let is_elsewhere = is_refused && front.parts.lateness.is_passed_over();
+    let is_elsewhere = is_refused && front.parts.lateness.is_bypassed();
     let published = front.parts.published.borrow();
     if is_scarce || is_busy || is_elsewhere || published.is_dedicated || published.stopping {
         let close = HeaderValue::from_static("close");
@@ -173,7 +173,7 @@
         if let Some(handle) = self.handle {
             let event = Event::new(Step::CallerGone).request(self.id);
             self.front.parts.journal.note(event);
-            let _ = self.front.parts.reactor.send(Input::Leave(handle));
+            let _ = self.front.parts.reactor.send(Input::Cancel(handle));
         }
     }
 }
@@ -295,7 +295,7 @@
 ) {
     let step = if retries == 0 {
         let waited = began.elapsed().as_secs_f64();
-        front.parts.metrics.wait.observe(waited);
+        front.parts.metrics.queue_wait.observe(waited);
         Step::Sent
     } else {
         Step::Retried
@@ -392,7 +392,7 @@
             refusal.basis = Some(refused);
             Err(refusal)
         }
-        Ok(Decision::Unserved) => {
+        Ok(Decision::NoEndpoint) => {
             let refusal = unserved("no-endpoint", NO_ENDPOINT, retries, idempotent);
             Err(refusal.after_time(NO_ENDPOINT_RETURN))
         }
@@ -416,7 +416,7 @@
 /// Queues a request again.
 async fn again(front: &Front, slot: Slot) -> Result<Decided, Refusal> {
     let (sender, receiver) = oneshot::channel();
-    let again = Input::Again(slot.handle, slot.verdict, sender);
+    let again = Input::Requeue(slot.handle, slot.verdict, sender);
     // The handle lives on: its slot is given back by `again`, not once more.
     slot.disarm();
     let _ = front.parts.reactor.send(again);
@@ -451,7 +451,7 @@
     let keep = upstream::keep_alive(&head.headers);
     upstream::strip(&mut head.headers);
     insert(&mut head.headers, OUTCOME, Outcome::Answered.as_str());
-    insert(&mut head.headers, IDENTITY, &slot.id.to_string());
+    insert(&mut head.headers, REQUEST_ID, &slot.id.to_string());
     count(front, Outcome::Answered, head.status);
     let kept = claim.map(|claim| {
         let (done, ended) = oneshot::channel();
--- a/components/node/src/front/upstream.rs
+++ b/components/node/src/front/upstream.rs
@@ -7,7 +7,7 @@
 use super::pool::{self, Connection, Pool};
 use super::refusal::insert;
 use crate::input::Dispatch;
-use crate::interface::{Answered, Interface, Onward};
+use crate::interface::{Interface, Outbound, Signals};
 use bytes::Bytes;
 use coordination::ask::Verdict;
 use coordination::backoff::Backoff;
@@ -158,15 +158,17 @@
     connection: Connection,
 ) -> Result<Answer, Failed> {
     let (head, body) = response.into_parts();
-    let Answered {
+    let Signals {
         identity,
         not_run,
-        is_sound,
+        is_authentic,
         is_leaving,
-        rest,
-    } = (interface.answer)(&head);
-    let rest = rest.map(|time| Backoff::resting(to.endpoint, time));
-    let backoff = is_leaving.then(|| Backoff::leaving(to.endpoint)).or(rest);
+        retry_after,
+    } = (interface.parse_response)(&head);
+    let retry_after = retry_after.map(|time| Backoff::resting(to.endpoint, time));
+    let backoff = is_leaving
+        .then(|| Backoff::leaving(to.endpoint))
+        .or(retry_after);
     let wrong = |reason: &str| Error::Peer {
         step: "read an answer",
         peer: to.address.to_string(),
@@ -197,7 +199,7 @@
             )
         });
     }
-    if !is_sound {
+    if !is_authentic {
         let error = wrong("it is not an endpoint's own answer");
         return Err(Failed {
             backoff,
@@ -232,7 +234,7 @@
         &self,
         to: &Dispatch,
         interface: &Interface,
-        left: Duration,
+        time_left: Duration,
     ) -> Result<Request<Full<Bytes>>> {
         let path = self.uri.path_and_query().map_or("/", |p| p.as_str());
         let mut request = Request::builder()
@@ -247,14 +249,14 @@
         strip(headers);
         headers.remove(CONTENT_LENGTH);
         headers.remove(EXPECT);
-        let onward = Onward {
+        let onward = Outbound {
             identity: &self.id.to_string(),
             endpoint: &to.name,
             customer: self.customer.as_ref(),
-            left,
+            time_left,
             copy_from: to.copy_from,
         };
-        (interface.pass_on)(headers, &onward);
+        (interface.rewrite_headers)(headers, &onward);
         if !headers.contains_key(HOST) {
             insert(headers, "host", &to.address.to_string());
         }
--- a/components/node/src/http.rs
+++ b/components/node/src/http.rs
@@ -1,6 +1,6 @@
 //! Serves small requests on an address of its own.
 
-use crate::shared::raised;
+use crate::shared::cancelled;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -50,7 +50,7 @@
         let stream = tokio::select! {
             stream = accept(&listener) => stream,
             Some(_) = tasks.join_next() => continue,
-            () = raised(&mut stop) => break,
+            () = cancelled(&mut stop) => break,
         };
         let Ok(place) = places.clone().try_acquire_owned() else {
             continue;
@@ -69,7 +69,7 @@
             tokio::pin!(connection);
             let ended = tokio::select! {
                 ended = connection.as_mut() => ended,
-                () = raised(&mut stop) => {
+                () = cancelled(&mut stop) => {
                     connection.as_mut().graceful_shutdown();
                     connection.await
                 }
--- a/components/node/src/input.rs
+++ b/components/node/src/input.rs
@@ -1,6 +1,6 @@
 //! What the reactor is told.
 
-use crate::interface::Told;
+use crate::interface::Contents;
 use crate::shared::Status;
 use coordination::ask::{Placement, Refusal, Verdict};
 use coordination::backoff::Backoff;
@@ -38,7 +38,7 @@
     /// It cannot be served in time.
     Refused(Refusal),
     /// No endpoint takes work for it.
-    Unserved,
+    NoEndpoint,
     /// Its deadline has passed.
     Expired,
 }
@@ -75,12 +75,12 @@
     /// A request arrives.
     Arrive(Arrival, oneshot::Sender<Result<(Handle, Decided), Full>>),
     /// A waiting request's caller has gone.
-    Leave(Handle),
+    Cancel(Handle),
     /// A request failed and is to be queued again.
-    Again(Handle, Verdict, oneshot::Sender<Decided>),
+    Requeue(Handle, Verdict, oneshot::Sender<Decided>),
     /// The first byte of an answer has come, this many milliseconds after its dispatch;
     /// `None` if tasks ran late meanwhile.
-    Began(Handle, Option<u32>),
+    FirstByte(Handle, Option<u32>),
     /// A request has cost this much so far.
     Progress(Handle, u32),
     /// A request has ended.
@@ -113,7 +113,7 @@
     /// What it has read.
     ListingRead(Reading),
     /// What an engine has kept; nothing if it did not tell.
-    Inventory(EndpointId, Told),
+    Inventory(EndpointId, Contents),
     /// Which endpoints are scheduled here, and where do they report their load?
     Watched(oneshot::Sender<Vec<Watched>>),
     /// What is the state?
--- a/components/node/src/interface.rs
+++ b/components/node/src/interface.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 /// Header of the product's own interface that carries a request's identity.
-pub(crate) const IDENTITY: &str = "cowslipford-request-id";
+pub(crate) const REQUEST_ID: &str = "cowslipford-request-id";
 /// Header by which a caller names a service.
 const SERVICE: &str = "cowslipford-service";
 /// Header by which a caller gives the expected cost.
@@ -32,7 +32,7 @@
 
 /// What a caller's head says.
 #[derive(Clone, Debug, Default)]
-pub struct Asked {
+pub struct Inbound {
     /// Identity that the caller gave the request, if it did.
     pub identity: Option<HeaderValue>,
     /// Hash of the customer's key, if one was sent.
@@ -40,7 +40,7 @@
     /// Service that the caller names.
     pub service: Option<String>,
     /// Time for which the caller will wait.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Expected cost, in units of the service.
     pub size: Option<u32>,
     /// What is known of the prompt.
@@ -49,7 +49,7 @@
 
 /// What an onward request is to say.
 #[derive(Clone, Debug)]
-pub struct Onward<'a> {
+pub struct Outbound<'a> {
     /// Identity that the router gave the request, in case its caller gave none.
     pub identity: &'a str,
     /// Endpoint that it is meant for.
@@ -57,24 +57,24 @@
     /// Customer whose key it bore.
     pub customer: Option<&'a Name>,
     /// Time that is left.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Engine that has kept more of the prompt, to copy it from.
     pub copy_from: Option<SocketAddr>,
 }
 
 /// What the head of an endpoint's answer says.
 #[derive(Clone, Debug, Default)]
-pub struct Answered {
+pub struct Signals {
     /// Identity of the request that it answers, if it says one.
     pub identity: Option<HeaderValue>,
     /// Whether the endpoint says that it has not run the request.
     pub not_run: bool,
     /// Whether it can be an endpoint's own answer.
-    pub is_sound: bool,
+    pub is_authentic: bool,
     /// Whether the endpoint says that it leaves, or that another one has its address.
     pub is_leaving: bool,
     /// Time for which the endpoint wants no more requests of this router.
-    pub rest: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 /// Region of each data centre.
@@ -93,7 +93,7 @@
 
 /// What an engine says of itself and of what it has kept.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
+pub struct Contents {
     /// When it started, in Unix milliseconds, if it says so.
     pub born: Option<u64>,
     /// Parts of prompts.
@@ -106,71 +106,71 @@
     /// Path of its page.
     pub path: &'static str,
     /// Reads the page; an error says what is wrong with it.
-    pub read: fn(&[u8]) -> Result<Told, String>,
+    pub parse: fn(&[u8]) -> Result<Contents, String>,
 }
 
 /// One way of speaking.
 #[derive(Clone, Copy, Debug)]
 pub struct Interface {
     /// Reads a caller's head; an error says what is wrong with it.
-    pub ask: fn(&request::Parts) -> Result<Asked, String>,
+    pub parse_request: fn(&request::Parts) -> Result<Inbound, String>,
     /// Makes a caller's headers those of the onward request.
-    pub pass_on: fn(&mut HeaderMap, &Onward<'_>),
+    pub rewrite_headers: fn(&mut HeaderMap, &Outbound<'_>),
     /// Reads the head of an endpoint's answer.
-    pub answer: fn(&response::Parts) -> Answered,
+    pub parse_response: fn(&response::Parts) -> Signals,
     /// Status with which the router says how a request ended that no endpoint
     /// has answered.
-    pub status: fn(StatusCode, Outcome) -> StatusCode,
+    pub map_status: fn(StatusCode, Outcome) -> StatusCode,
     /// Path of complete configurations.
-    pub releases: &'static str,
+    pub release_path: &'static str,
     /// Reads a complete configuration; an error says what is wrong with it.
-    pub release: fn(Bytes) -> Result<Release, String>,
+    pub parse_release: fn(Bytes) -> Result<Release, String>,
     /// Path of orders to evacuate a data centre, which its name follows.
-    pub evacuations: &'static str,
+    pub evacuation_path: &'static str,
     /// Path of the first page of the platform's list.
-    pub listing: &'static str,
+    pub listing_path: &'static str,
     /// The path of a page of the list for the endpoints of one data centre alone, if the list
     /// can be asked for them.
-    pub listing_of: fn(&str, &Name) -> Option<String>,
+    pub data_centre_path: fn(&str, &Name) -> Option<String>,
     /// Reads a page of the list.
-    pub page: fn(&[u8], &Regions) -> Result<Page, String>,
+    pub parse_page: fn(&[u8], &Regions) -> Result<Page, String>,
     /// How engines tell what they have kept, if they do.
     pub inventory: Option<Inventory>,
 }
 
 impl Interface {
     /// The product's own.
-    pub fn own() -> Self {
+    pub fn native() -> Self {
         Interface {
-            ask: own_ask,
-            pass_on: own_pass_on,
-            answer: own_answer,
-            status: |status, _| status,
-            releases: "/release",
-            release: own_release,
-            evacuations: "/evacuation/",
-            listing: "/endpoints",
-            listing_of: |_, _| None,
-            page: own_page,
+            parse_request: own_ask,
+            rewrite_headers: own_pass_on,
+            parse_response: own_answer,
+            map_status: |status, _| status,
+            release_path: "/release",
+            parse_release: own_release,
+            evacuation_path: "/evacuation/",
+            listing_path: "/endpoints",
+            data_centre_path: |_, _| None,
+            parse_page: own_page,
             inventory: None,
         }
     }
 }
 
-fn own_ask(head: &request::Parts) -> Result<Asked, String> {
+fn own_ask(head: &request::Parts) -> Result<Inbound, String> {
     let text = |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok());
     let header = head.headers.get(AUTHORIZATION);
     let header = header.and_then(|v| v.to_str().ok());
     let key = header.and_then(|v| v.strip_prefix("Bearer "));
-    Ok(Asked {
+    Ok(Inbound {
         key: key.map(|k| Hash::of(&[k.trim().as_bytes()])),
         service: text(SERVICE).map(str::to_owned),
         size: text(SIZE).and_then(|v| v.parse().ok()),
-        ..Asked::default()
+        ..Inbound::default()
     })
 }
 
-fn own_pass_on(headers: &mut HeaderMap, onward: &Onward<'_>) {
+fn own_pass_on(headers: &mut HeaderMap, onward: &Outbound<'_>) {
     headers.remove(AUTHORIZATION);
     headers.remove(COPY_FROM);
     if let Some(address) = onward.copy_from {
@@ -179,17 +179,17 @@
         }
     }
     if let Ok(identity) = HeaderValue::from_str(onward.identity) {
-        headers.insert(IDENTITY, identity);
+        headers.insert(REQUEST_ID, identity);
     }
 }
 
-fn own_answer(head: &response::Parts) -> Answered {
-    Answered {
-        identity: head.headers.get(IDENTITY).cloned(),
+fn own_answer(head: &response::Parts) -> Signals {
+    Signals {
+        identity: head.headers.get(REQUEST_ID).cloned(),
         not_run: false,
-        is_sound: true,
+        is_authentic: true,
         is_leaving: head.headers.contains_key(LEAVING),
-        rest: retry_after(head),
+        retry_after: retry_after(head),
     }
 }
 
--- a/components/node/src/inventory.rs
+++ b/components/node/src/inventory.rs
@@ -6,8 +6,8 @@
 
 use crate::fetch::fetch;
 use crate::input::Input;
-use crate::interface::{Inventory, Told};
-use crate::shared::raised;
+use crate::interface::{Contents, Inventory};
+use crate::shared::cancelled;
 use errors::{Error, Result};
 use state::id::EndpointId;
 use state::line::Line;
@@ -42,7 +42,7 @@
                 asking.spawn(tell(inventory, unknown, reactor.clone()));
             }
             Some(_) = asking.join_next() => {}
-            () = raised(&mut stop) => break,
+            () = cancelled(&mut stop) => break,
         }
     }
     asking.shutdown().await;
@@ -53,16 +53,16 @@
     let told = ask(inventory, unknown).await.unwrap_or_else(|error| {
         // Its parts are learned from the requests that it gets.
         tracing::info!(event = Line::InventoryMissing.as_str(), %error);
-        Told::default()
+        Contents::default()
     });
     // The reactor ends only together with this process.
     let _ = reactor.send(Input::Inventory(unknown.endpoint, told));
 }
 
-async fn ask(inventory: Inventory, unknown: Unknown) -> Result<Told> {
+async fn ask(inventory: Inventory, unknown: Unknown) -> Result<Contents> {
     let step = "ask an engine what it has kept";
     let peer = unknown.address;
     let page = tokio::time::timeout(LONGEST, fetch(peer, inventory.path, PAGE_MAX));
     let page = page.await.map_err(Error::peer(step, peer))??;
-    (inventory.read)(&page).map_err(Error::peer(step, peer))
+    (inventory.parse)(&page).map_err(Error::peer(step, peer))
 }
--- a/components/node/src/journal.rs
+++ b/components/node/src/journal.rs
@@ -11,7 +11,7 @@
 /// Events of one process, as operators get them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Lane {
+pub struct Dump {
     /// The VM.
     pub vm: Name,
     /// Its incarnation.
@@ -64,9 +64,9 @@
     }
 
     /// What the ring holds.
-    pub fn lane(&self, vm: Name, incarnation: u64) -> Lane {
+    pub fn dump(&self, vm: Name, incarnation: u64) -> Dump {
         let ring = self.ring();
-        Lane {
+        Dump {
             vm,
             incarnation,
             dropped: ring.dropped,
--- a/components/node/src/lib.rs
+++ b/components/node/src/lib.rs
@@ -17,6 +17,7 @@
 mod journal;
 mod listing;
 mod metric;
+mod monitor;
 mod operators;
 mod platform;
 mod poll;
@@ -29,10 +30,11 @@
 mod retry_after;
 mod schedulers;
 mod shared;
-mod vitals;
 
 pub use coordination::rule::shadowed;
-pub use interface::{region, Answered, Asked, Interface, Inventory, Onward, Page, Regions, Told};
-pub use journal::{Journal, Lane};
-pub use process::{Addresses, Process, Reloads};
+pub use interface::{
+    region, Contents, Inbound, Interface, Inventory, Outbound, Page, Regions, Signals,
+};
+pub use journal::{Dump, Journal};
+pub use process::{Addresses, Process, Reloader};
 pub use retry_after::retry_after;
--- a/components/node/src/listing.rs
+++ b/components/node/src/listing.rs
@@ -3,7 +3,7 @@
 use crate::fetch::fetch;
 use crate::input::{Input, Reading};
 use crate::interface::{Interface, Page, Regions};
-use crate::shared::raised;
+use crate::shared::cancelled;
 use errors::{Error, Result};
 use state::id::Name;
 use state::line::Line;
@@ -64,7 +64,7 @@
     loop {
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            () = raised(&mut stop) => return,
+            () = cancelled(&mut stop) => return,
         }
         let (sender, due) = oneshot::channel();
         if reactor.send(Input::ListingDue(sender)).is_err() {
@@ -187,16 +187,16 @@
 impl List {
     /// Whether it has more than one page, as far as the first one tells.
     async fn has_more(&self) -> bool {
-        let first = self.page(self.interface.listing).await;
+        let first = self.page(self.interface.listing_path).await;
         first.is_ok_and(|page| page.next.is_some())
     }
 
     /// Reads all pages, or those of one data centre. Those that were read before one that
     /// fails are kept.
     async fn read(&self, centre: Option<&Name>, part: &mut Part) -> Result<()> {
-        let mut path = self.interface.listing.to_owned();
+        let mut path = self.interface.listing_path.to_owned();
         for _ in 0..PAGES_MAX {
-            let of_centre = centre.and_then(|c| (self.interface.listing_of)(&path, c));
+            let of_centre = centre.and_then(|c| (self.interface.data_centre_path)(&path, c));
             let page = self.page(of_centre.as_deref().unwrap_or(&path)).await?;
             part.endpoints.extend(page.endpoints);
             part.unreadable += page.unreadable;
@@ -225,7 +225,7 @@
                 }
                 Ok(Err(error)) | Err(error) => return Err(error),
             };
-            let page = (self.interface.page)(&bytes, &self.regions);
+            let page = (self.interface.parse_page)(&bytes, &self.regions);
             return page.map_err(Error::peer(STEP, self.address));
         }
     }
--- a/components/node/src/metric.rs
+++ b/components/node/src/metric.rs
@@ -44,7 +44,7 @@
     /// and rule.
     pub(crate) first: HistogramVec,
     /// Seconds from a request's arrival to its dispatch.
-    pub(crate) wait: Histogram,
+    pub(crate) queue_wait: Histogram,
     /// Seconds from a request's arrival to the end of its answer.
     pub(crate) duration: Histogram,
     /// Tries after the first.
@@ -56,25 +56,25 @@
     /// Requests in progress on this router.
     pub(crate) held: IntGauge,
     /// Connections that callers opened.
-    pub(crate) accepted: IntCounter,
+    pub(crate) accepted_connections: IntCounter,
     /// Requests whose head was read.
-    pub(crate) asked: IntCounter,
+    pub(crate) request_heads: IntCounter,
     /// Tries sent to endpoints.
-    pub(crate) sent: IntCounter,
+    pub(crate) attempts: IntCounter,
     /// Connections closed unread, since tasks ran late or there was no place for them.
-    pub(crate) turned_away: IntCounter,
+    pub(crate) closed_unread: IntCounter,
     /// Requests refused without a log line.
-    pub(crate) untold: IntCounter,
+    pub(crate) unlogged_refusals: IntCounter,
     /// Callers' connections.
     pub(crate) connections: IntGauge,
     /// Requests that have a head and have not ended.
-    pub(crate) here: IntGauge,
+    pub(crate) open_requests: IntGauge,
     /// Bytes of bodies that arrive, wait or run.
     pub(crate) body_bytes: IntGauge,
     /// Idle connections kept to endpoints.
-    pub(crate) kept: IntGauge,
+    pub(crate) idle_connections: IntGauge,
     /// Inputs that wait for the reactor.
-    pub(crate) inputs: IntGauge,
+    pub(crate) queued_inputs: IntGauge,
     /// Bytes of memory that the process holds.
     pub(crate) resident: IntGauge,
     /// Most milliseconds by which a task ran late in the last second.
@@ -177,7 +177,7 @@
             took,
             first,
             requests,
-            wait: seconds("cowslipford_wait_seconds", "Time from arrival to dispatch.")?,
+            queue_wait: seconds("cowslipford_wait_seconds", "Time from arrival to dispatch.")?,
             duration: seconds(
                 "cowslipford_request_seconds",
                 "Time from arrival to the end.",
@@ -192,25 +192,25 @@
                 "cowslipford_in_progress",
                 "Requests in progress on this router.",
             )?,
-            accepted: counter(
+            accepted_connections: counter(
                 "cowslipford_connections_accepted_total",
                 "Connections that callers opened.",
             )?,
-            asked: counter(
+            request_heads: counter(
                 "cowslipford_requests_asked_total",
                 "Requests whose head was read.",
             )?,
-            sent: counter("cowslipford_tries_sent_total", "Tries sent to endpoints.")?,
-            turned_away: counter(
+            attempts: counter("cowslipford_tries_sent_total", "Tries sent to endpoints.")?,
+            closed_unread: counter(
                 "cowslipford_connections_turned_away_total",
                 "Connections closed unread, since tasks ran late or there was no place for them.",
             )?,
-            untold: counter(
+            unlogged_refusals: counter(
                 "cowslipford_untold_refusals_total",
                 "Requests refused while tasks ran late, without a log line.",
             )?,
             connections: gauge("cowslipford_connections", "Callers' connections.")?,
-            here: gauge(
+            open_requests: gauge(
                 "cowslipford_requests_here",
                 "Requests that have a head and have not ended.",
             )?,
@@ -218,11 +218,11 @@
                 "cowslipford_body_bytes",
                 "Bytes of bodies that arrive, wait or run.",
             )?,
-            kept: gauge(
+            idle_connections: gauge(
                 "cowslipford_kept_connections",
                 "Idle connections kept to endpoints.",
             )?,
-            inputs: gauge(
+            queued_inputs: gauge(
                 "cowslipford_reactor_inputs",
                 "Inputs that wait for the reactor.",
             )?,
@@ -270,7 +270,7 @@
     }
 
     /// Counts a request that has ended.
-    pub(crate) fn ended(&self, took: Duration, first: Option<Duration>, labels: Labels<'_>) {
+    pub(crate) fn record_end(&self, took: Duration, first: Option<Duration>, labels: Labels<'_>) {
         let Labels {
             service,
             rule,
@@ -311,7 +311,7 @@
 }
 
 /// A gauge's value from a count.
-pub(crate) fn value<N>(number: N) -> i64
+pub(crate) fn gauge_value<N>(number: N) -> i64
 where
     N: TryInto<i64>,
 {
--- a/components/node/src/vitals.rs
+++ b/components/node/src/monitor.rs
@@ -3,8 +3,8 @@
 //! Gauges show it at all times. While the process is under pressure a log line each
 //! second tells the same, so that what led to an end can be read afterwards.
 
-use crate::metric::{value, Metrics};
-use crate::shared::{raised, Published};
+use crate::metric::{gauge_value, Metrics};
+use crate::shared::{cancelled, Published};
 use coordination::intake::{Arrivals, Intake, Limit, Probes};
 use coordination::overload::Overload;
 use state::clock::Millis;
@@ -18,7 +18,7 @@
 const LOOK: Duration = Duration::from_secs(1);
 
 /// Time between two probes of how late tasks run. Each costs a wake-up.
-pub(crate) const PROBE: Duration = Duration::from_millis(20);
+pub(crate) const PROBE_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Lateness of tasks from which on that line is written, in milliseconds.
 const TOLD_MS: u64 = 20;
@@ -54,9 +54,9 @@
     /// Connections that may be let in between two probes.
     takes: AtomicU64,
     /// Whether new connections are to go to other routers.
-    is_away: AtomicBool,
+    is_shedding: AtomicBool,
     /// Whether they do by now.
-    is_passed_over: AtomicBool,
+    is_bypassed: AtomicBool,
 }
 
 impl Default for Lateness {
@@ -95,7 +95,7 @@
     }
 
     /// What to do with a connection that was accepted.
-    pub(crate) fn connection(&self) -> Intake {
+    pub(crate) fn admit_connection(&self) -> Intake {
         let intake = self.of_connection();
         match intake {
             Intake::Take => {
@@ -124,7 +124,7 @@
     }
 
     /// What to do with a request whose head was read.
-    pub(crate) fn request(&self) -> Intake {
+    pub(crate) fn admit_request(&self) -> Intake {
         let intake = Intake::of_request(self.ms());
         if intake == Intake::Take {
             self.shared.taken.fetch_add(1, Ordering::Relaxed);
@@ -133,22 +133,20 @@
     }
 
     /// Whether new connections are to go to other routers.
-    pub(crate) fn is_away(&self) -> bool {
-        self.shared.is_away.load(Ordering::Relaxed)
+    pub(crate) fn is_shedding(&self) -> bool {
+        self.shared.is_shedding.load(Ordering::Relaxed)
     }
 
     /// Whether they do by now, so that callers are best off with a new connection.
-    pub(crate) fn is_passed_over(&self) -> bool {
-        self.shared.is_passed_over.load(Ordering::Relaxed)
+    pub(crate) fn is_bypassed(&self) -> bool {
+        self.shared.is_bypassed.load(Ordering::Relaxed)
     }
 
     /// Notes whether they are to and whether they do; tells whether the first has changed.
-    fn turn(&self, is_away: bool, is_passed_over: bool) -> bool {
+    fn turn(&self, is_shedding: bool, is_bypassed: bool) -> bool {
         let shared = &self.shared;
-        shared
-            .is_passed_over
-            .store(is_passed_over, Ordering::Relaxed);
-        shared.is_away.swap(is_away, Ordering::Relaxed) != is_away
+        shared.is_bypassed.store(is_bypassed, Ordering::Relaxed);
+        shared.is_shedding.swap(is_shedding, Ordering::Relaxed) != is_shedding
     }
 
     fn elapsed(&self) -> u64 {
@@ -177,9 +175,9 @@
 
     /// Sleeps for one probe; gives by how many milliseconds it woke too late.
     async fn probe(&self) -> u64 {
-        let due = self.elapsed() + millis(PROBE);
+        let due = self.elapsed() + millis(PROBE_INTERVAL);
         self.shared.due.store(due, Ordering::Relaxed);
-        tokio::time::sleep(PROBE).await;
+        tokio::time::sleep(PROBE_INTERVAL).await;
         let late = self.elapsed().saturating_sub(due);
         let last = self.shared.last.swap(late, Ordering::Relaxed);
         self.shared.before.store(last, Ordering::Relaxed);
@@ -200,7 +198,7 @@
     published: watch::Receiver<Published>,
     mut stop: watch::Receiver<bool>,
 ) {
-    let connections = value(connections);
+    let connections = gauge_value(connections);
     let mut next = Instant::now() + LOOK;
     let mut latest = 0;
     let mut overload = Overload::default();
@@ -208,7 +206,7 @@
     loop {
         let late = tokio::select! {
             late = lateness.probe() => late,
-            () = raised(&mut stop) => return,
+            () = cancelled(&mut stop) => return,
         };
         limit.probe(lateness.lasting(), lateness.arrivals().taken);
         lateness.begin(limit.takes());
@@ -216,10 +214,10 @@
         let now = Millis(lateness.elapsed());
         let is_hot = published.borrow().is_hot;
         overload.note_hot(is_hot);
-        let is_away = overload.probe(now, late, is_full);
-        if lateness.turn(is_away, overload.is_passed_over(now)) {
+        let is_shedding = overload.probe(now, late, is_full);
+        if lateness.turn(is_shedding, overload.is_passed_over(now)) {
             let event = Line::Overload.as_str();
-            tracing::info!(event, away = is_away, hot = is_hot, late_ms = late);
+            tracing::info!(event, away = is_shedding, hot = is_hot, late_ms = late);
         }
         latest = latest.max(late);
         if Instant::now() < next {
@@ -232,7 +230,7 @@
 }
 
 fn look(metrics: &Metrics, memory: u64, late_ms: u64) {
-    metrics.late.set(value(late_ms));
+    metrics.late.set(gauge_value(late_ms));
     let resident = resident().unwrap_or_else(|error| {
         tracing::debug!(%error, "the resident memory cannot be read");
         0
@@ -247,17 +245,17 @@
         resident,
         memory,
         connections = metrics.connections.get(),
-        accepted = metrics.accepted.get(),
-        asked = metrics.asked.get(),
-        sent = metrics.sent.get(),
-        here = metrics.here.get(),
+        accepted = metrics.accepted_connections.get(),
+        asked = metrics.request_heads.get(),
+        sent = metrics.attempts.get(),
+        here = metrics.open_requests.get(),
         waiting = metrics.waiting.get(),
         held = metrics.held.get(),
         body_bytes = metrics.body_bytes.get(),
-        kept = metrics.kept.get(),
-        inputs = metrics.inputs.get(),
-        untold = metrics.untold.get(),
-        turned_away = metrics.turned_away.get(),
+        kept = metrics.idle_connections.get(),
+        inputs = metrics.queued_inputs.get(),
+        untold = metrics.unlogged_refusals.get(),
+        turned_away = metrics.closed_unread.get(),
     );
 }
 
--- a/components/node/src/operators.rs
+++ b/components/node/src/operators.rs
@@ -128,7 +128,7 @@
                 StatusCode::OK,
                 &parts
                     .journal
-                    .lane(hello.place.vm.clone(), hello.incarnation),
+                    .dump(hello.place.vm.clone(), hello.incarnation),
             )
         }
         (&Method::GET, "/names") => json(StatusCode::OK, &names(&published)),
--- a/components/node/src/platform.rs
+++ b/components/node/src/platform.rs
@@ -2,7 +2,7 @@
 
 use crate::fetch::fetch;
 use crate::input::Input;
-use crate::shared::{raised, Published};
+use crate::shared::{cancelled, Published};
 use coordination::platform::{Change, Entry, Watch};
 use errors::{Error, Result};
 use protocol::wire::{Leaving, Query};
@@ -32,7 +32,7 @@
     loop {
         tokio::select! {
             _ = period.tick() => {}
-            () = raised(&mut stop) => return,
+            () = cancelled(&mut stop) => return,
         }
         let list = read(&platform).await;
         if list.is_ok() != reachable {
--- a/components/node/src/poll.rs
+++ b/components/node/src/poll.rs
@@ -2,7 +2,7 @@
 
 use crate::fetch::fetch;
 use crate::input::{Input, Watched};
-use crate::shared::raised;
+use crate::shared::cancelled;
 use errors::{Error, Result};
 use serde::Deserialize;
 use std::time::Duration;
@@ -30,7 +30,7 @@
     loop {
         tokio::select! {
             _ = period.tick() => {}
-            () = raised(&mut stop) => return,
+            () = cancelled(&mut stop) => return,
         }
         let (sender, receiver) = oneshot::channel();
         if reactor.send(Input::Watched(sender)).is_err() {
--- a/components/node/src/process.rs
+++ b/components/node/src/process.rs
@@ -7,11 +7,11 @@
 use crate::interface::Interface;
 use crate::journal::Journal;
 use crate::metric::Metrics;
+use crate::monitor::Lateness;
 use crate::operators::{self, Parts as OperatorParts};
 use crate::reactor::{Parts as ReactorParts, Reactor};
-use crate::shared::{raised, Published, Shared, Status};
-use crate::vitals::Lateness;
-use crate::{http, inventory, listing, platform, poll, readiness, releases, vitals};
+use crate::shared::{cancelled, Published, Shared, Status};
+use crate::{http, inventory, listing, monitor, platform, poll, readiness, releases};
 use coordination::agree::Admission;
 use coordination::budget::{Budget, Vm};
 use coordination::dispatcher::{Bounds, Home};
@@ -103,8 +103,8 @@
     }
 
     /// Where changed settings are told.
-    pub fn reloads(&self) -> Reloads {
-        Reloads {
+    pub fn reloader(&self) -> Reloader {
+        Reloader {
             reactor: self.reactor.clone(),
         }
     }
@@ -191,14 +191,14 @@
 
 /// Takes changed settings of a running process.
 #[derive(Clone)]
-pub struct Reloads {
+pub struct Reloader {
     reactor: flume::Sender<Input>,
 }
 
-impl Reloads {
+impl Reloader {
     /// Follows what can change while a process runs: where control VMs are found.
     /// All else takes a restart.
-    pub fn follow(&self, settings: &Settings) {
+    pub fn apply(&self, settings: &Settings) {
         let seeds = settings.peers.places().to_vec();
         // A process that is ending needs no seeds.
         let _ = self.reactor.send(Input::Seeds(seeds));
@@ -428,7 +428,7 @@
         );
         let memory = self.settings.vm.memory;
         let budget = Starter::budget(&self.settings);
-        let vitals = vitals::run(
+        let monitor = monitor::run(
             lateness.clone(),
             self.metrics.clone(),
             memory,
@@ -436,7 +436,7 @@
             published.clone(),
             stopped.clone(),
         );
-        tasks.push(tokio::spawn(vitals));
+        tasks.push(tokio::spawn(monitor));
         if self.settings.scheduler {
             tasks.push(tokio::spawn(poll::run(reactor.clone(), stopped.clone())));
             if let Some(inventory) = self.interface.inventory {
@@ -555,7 +555,7 @@
                 Ok(event) => if reactor.send(Input::Link(event)).is_err() { return },
                 Err(_) => return,
             },
-            () = raised(&mut stop) => return,
+            () = cancelled(&mut stop) => return,
         }
     }
 }
--- a/components/node/src/quarantine.rs
+++ b/components/node/src/quarantine.rs
@@ -25,19 +25,19 @@
 
 /// What the callers' side is to do with requests, by the fleet and by this router alone.
 #[derive(Debug, Default)]
-pub(crate) struct Verdicts {
+pub(crate) struct Suspicions {
     fleet: Standings,
     own: Standings,
 }
 
-impl Verdicts {
+impl Suspicions {
     /// Whether every request is to be served like any other.
     pub(crate) fn is_empty(&self) -> bool {
         self.fleet.is_empty() && self.own.is_empty()
     }
 
     /// Whether a whole answer to this request is of interest.
-    pub(crate) fn knows(&self, fingerprint: &Fingerprint) -> bool {
+    pub(crate) fn contains(&self, fingerprint: &Fingerprint) -> bool {
         self.fleet.contains_key(fingerprint) || self.own.contains_key(fingerprint)
     }
 
@@ -72,12 +72,12 @@
     report_at: Millis,
     report: Option<oneshot::Receiver<Reply>>,
     expire_at: Millis,
-    publish: watch::Sender<Arc<Verdicts>>,
+    publish: watch::Sender<Arc<Suspicions>>,
 }
 
 impl Quarantine {
     /// Nothing is suspected yet.
-    pub(crate) fn new(publish: watch::Sender<Arc<Verdicts>>) -> Self {
+    pub(crate) fn new(publish: watch::Sender<Arc<Suspicions>>) -> Self {
         Quarantine {
             own: Suspects::default(),
             fleet: Standings::new(),
@@ -175,7 +175,7 @@
     }
 
     fn publish(&self) {
-        let verdicts = Verdicts {
+        let verdicts = Suspicions {
             fleet: self.fleet.clone(),
             own: self.own.standings(1),
         };
@@ -191,7 +191,7 @@
 }
 
 /// Logs which requests are refused from now on, and which no longer.
-fn tell(old: &Verdicts, new: &Verdicts) {
+fn tell(old: &Suspicions, new: &Suspicions) {
     let known = new.fleet.keys().chain(new.own.keys());
     let begun = known.filter(|f| new.is_quarantined(f) && !old.is_quarantined(f));
     for fingerprint in begun {
--- a/components/node/src/reactor/mod.rs
+++ b/components/node/src/reactor/mod.rs
@@ -12,7 +12,7 @@
 use crate::inventory::Unknown;
 use crate::journal::Journal;
 use crate::metric::Metrics;
-use crate::quarantine::{Quarantine, Up, Verdicts};
+use crate::quarantine::{Quarantine, Suspicions, Up};
 use crate::query::Queries;
 use crate::schedulers::Schedulers;
 use crate::shared::Published;
@@ -80,7 +80,7 @@
     /// Where to publish.
     pub(crate) publish: watch::Sender<Published>,
     /// Where to publish what is done with requests that may crash endpoints.
-    pub(crate) verdicts: watch::Sender<Arc<Verdicts>>,
+    pub(crate) verdicts: watch::Sender<Arc<Suspicions>>,
 }
 
 /// The reactor.
@@ -273,8 +273,8 @@
                     self.leave(now, handle);
                 }
             }
-            Input::Leave(handle) => self.leave(now, handle),
-            Input::Again(handle, verdict, reply) => {
+            Input::Cancel(handle) => self.leave(now, handle),
+            Input::Requeue(handle, verdict, reply) => {
                 self.parts.metrics.retries.inc();
                 let (sender, decided) = oneshot::channel();
                 self.decisions.insert(handle, sender);
@@ -284,7 +284,7 @@
                     self.leave(now, handle);
                 }
             }
-            Input::Began(handle, took_ms) => {
+            Input::FirstByte(handle, took_ms) => {
                 let effects = self.dispatcher.began(now, handle, took_ms);
                 self.act(now, effects);
             }
@@ -615,7 +615,7 @@
                 Effect::Unserved(handle) => {
                     if let Some(sender) = self.decisions.remove(&handle) {
                         // The caller may have gone at the same moment.
-                        let _ = sender.send(Decision::Unserved);
+                        let _ = sender.send(Decision::NoEndpoint);
                     }
                 }
                 Effect::Expire(handle) => {
--- a/components/node/src/reactor/show.rs
+++ b/components/node/src/reactor/show.rs
@@ -2,7 +2,7 @@
 
 use super::Reactor;
 use crate::input::Watched;
-use crate::metric::value;
+use crate::metric::gauge_value;
 use crate::shared::{Shared, Status};
 use coordination::dispatcher::endpoints;
 use state::id::Name;
@@ -20,7 +20,7 @@
             closed: self.closed,
             is_dedicated: self.dedicated,
             is_hot: self.dispatcher.is_hot(),
-            proof: self.dissemination.proof(),
+            verified_at: self.dissemination.proof(),
             routers: (self.dispatcher.routers()).max(self.dissemination.size().unwrap_or(1)),
         };
         self.parts.publish.send_replace(Arc::new(shared));
@@ -53,27 +53,27 @@
 
     pub(super) fn measure(&mut self) {
         let m = &self.parts.metrics;
-        m.waiting.set(value(self.dispatcher.waiting()));
-        m.held.set(value(self.dispatcher.held()));
-        m.version.set(value(self.view.version.0));
-        m.evacuated.set(value(self.evacuated.len()));
+        m.waiting.set(gauge_value(self.dispatcher.waiting()));
+        m.held.set(gauge_value(self.dispatcher.held()));
+        m.version.set(gauge_value(self.view.version.0));
+        m.evacuated.set(gauge_value(self.evacuated.len()));
         m.ready.set(i64::from(self.ready && !self.stopping));
-        m.local.set(value(
+        m.local.set(gauge_value(
             self.dispatcher.shards().filter(|(_, up)| !up).count(),
         ));
         self.schedulers.measure(&self.live);
         let (datagrams, udp) = self.parts.hub.udp();
-        let set = |what, number| m.link.with_label_values(&[what]).set(value(number));
+        let set = |what, number| m.link.with_label_values(&[what]).set(gauge_value(number));
         set("datagrams", datagrams);
         set("datagram_bytes", udp);
         set("links", self.parts.hub.peers().len() as u64);
         for (kind, (frames, bytes)) in self.parts.hub.counts().kinds() {
             m.frames
                 .with_label_values(&[kind, "frames"])
-                .set(value(frames));
+                .set(gauge_value(frames));
             m.frames
                 .with_label_values(&[kind, "bytes"])
-                .set(value(bytes));
+                .set(gauge_value(bytes));
         }
     }
 
--- a/components/node/src/readiness.rs
+++ b/components/node/src/readiness.rs
@@ -1,7 +1,7 @@
 //! Tells on an address of its own whether this router takes requests.
 
+use crate::monitor::Lateness;
 use crate::shared::Published;
-use crate::vitals::Lateness;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Response, StatusCode};
@@ -28,9 +28,9 @@
     pub(crate) fn is_ready(&self) -> bool {
         let published = self.published.borrow();
         let now = self.clock.now();
-        let age = published.proof.map_or(u64::MAX, |at| now.since(at));
+        let age = published.verified_at.map_or(u64::MAX, |at| now.since(at));
         let proved = self.stale_ms.is_none_or(|bound| age <= bound);
-        let has_time = !published.is_dedicated && !self.lateness.is_away();
+        let has_time = !published.is_dedicated && !self.lateness.is_shedding();
         published.ready && !published.stopping && proved && has_time
     }
 }
--- a/components/node/src/releases.rs
+++ b/components/node/src/releases.rs
@@ -74,11 +74,11 @@
 
 /// Answers one request.
 pub(crate) async fn answer(parts: Arc<Parts>, request: Request<Incoming>) -> Response<Full<Bytes>> {
-    let data_centre = (request.uri().path()).strip_prefix(parts.interface.evacuations);
+    let data_centre = (request.uri().path()).strip_prefix(parts.interface.evacuation_path);
     if let Some(data_centre) = data_centre.map(str::to_owned) {
         return evacuate(&parts, &data_centre, request).await;
     }
-    if request.uri().path() != parts.interface.releases {
+    if request.uri().path() != parts.interface.release_path {
         return text(StatusCode::NOT_FOUND, "there is nothing here");
     }
     match *request.method() {
@@ -142,7 +142,7 @@
         Ok(Err(error)) => return text(StatusCode::BAD_REQUEST, &error.to_string()),
         Err(_) => return text(StatusCode::REQUEST_TIMEOUT, "the body took too long"),
     };
-    let release = match (parts.interface.release)(document) {
+    let release = match (parts.interface.parse_release)(document) {
         Ok(release) => release,
         Err(reason) => {
             tracing::info!(event = Line::ReleaseRefused.as_str(), reason);
--- a/components/node/src/schedulers.rs
+++ b/components/node/src/schedulers.rs
@@ -1,10 +1,10 @@
 //! The schedulers that this VM runs.
 
 use crate::batch::Batch;
-use crate::interface::Told;
+use crate::interface::Contents;
 use crate::inventory::Unknown;
 use crate::journal::Journal;
-use crate::metric::{value, Metrics};
+use crate::metric::{gauge_value, Metrics};
 use crate::shared::ShardStatus;
 use coordination::ask::{Kept, Report, Served};
 use coordination::assignment;
@@ -261,7 +261,7 @@
         &mut self,
         now: Millis,
         endpoint: EndpointId,
-        told: &Told,
+        told: &Contents,
         batch: &mut Batch,
     ) {
         for assigned in self.all.values_mut() {
@@ -374,16 +374,16 @@
                     .with_label_values(&[service, region, what]);
                 gauge.set(number);
             };
-            set("slots", value(status.slots));
-            set("running", value(status.running));
-            set("waiting", value(status.waiting));
-            set("routers", value(status.routers));
+            set("slots", gauge_value(status.slots));
+            set("running", gauge_value(status.running));
+            set("waiting", gauge_value(status.waiting));
+            set("routers", gauge_value(status.routers));
             for (customer, level) in &status.levels {
                 let labels = [service, region, customer.as_str()];
                 self.metrics
                     .service
                     .with_label_values(&labels)
-                    .set(value(*level));
+                    .set(gauge_value(*level));
             }
         }
     }
--- a/components/node/src/shared.rs
+++ b/components/node/src/shared.rs
@@ -28,7 +28,7 @@
     /// Whether far more requests are in progress here than at other routers.
     pub(crate) is_hot: bool,
     /// Latest time at which this view was proved to be the newest.
-    pub(crate) proof: Option<Millis>,
+    pub(crate) verified_at: Option<Millis>,
     /// Routers that share the endpoints, as far as the schedulers tell.
     pub(crate) routers: u32,
 }
@@ -95,6 +95,6 @@
 }
 
 /// Waits until a flag turns true, or nobody is left to turn it.
-pub(crate) async fn raised(flag: &mut watch::Receiver<bool>) {
+pub(crate) async fn cancelled(flag: &mut watch::Receiver<bool>) {
     let _ = flag.wait_for(|raised| *raised).await;
 }
--- a/src/cmd/dev.rs
+++ b/src/cmd/dev.rs
@@ -34,7 +34,7 @@
     keys::make(folder, &[name])?;
     let settings = settings(args, folder)?;
     log::start(&settings.log);
-    let mut process = Process::start(settings, Interface::own()).await?;
+    let mut process = Process::start(settings, Interface::native()).await?;
     let model = stand_in(Kind::Model).await?;
     let plain = stand_in(Kind::Plain).await?;
     let operators = process.addresses().operators;
--- a/src/cmd/run.rs
+++ b/src/cmd/run.rs
@@ -28,11 +28,11 @@
 async fn serve(settings: Settings, file: &Path, mut stop: StopSignals) -> Result<(), Failure> {
     let interface = interface(&settings)?;
     let mut process = Process::start(settings.clone(), interface).await?;
-    let reloads = process.reloads();
+    let reloader = process.reloader();
     let ended = tokio::select! {
         ended = process.wait() => ended,
         () = stop.received() => Ok(()),
-        () = follow(file, settings, &reloads) => Ok(()),
+        () = follow(file, settings, &reloader) => Ok(()),
     };
     if ended.is_ok() {
         process.stop().await;
@@ -43,7 +43,7 @@
 /// The way of speaking that the settings name.
 pub(crate) fn interface(settings: &Settings) -> Result<Interface, Failure> {
     match settings.vm.interface.as_str() {
-        "own" => Ok(Interface::own()),
+        "own" => Ok(Interface::native()),
         platform::NAME => Ok(platform::interface()),
         other => {
             let allowed = format!("[vm] interface = {other:?}: own or {}", platform::NAME);
@@ -66,7 +66,7 @@
 
 /// Follows the settings file, on SIGHUP and when it changes without one. A file
 /// that is wrong is told of, and the last good one stays.
-async fn follow(file: &Path, mut settings: Settings, reloads: &node::Reloads) {
+async fn follow(file: &Path, mut settings: Settings, reloader: &node::Reloader) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return std::future::pending().await;
     };
@@ -79,7 +79,7 @@
         match Settings::read(file) {
             Ok(read) if read != settings => {
                 tracing::info!(event = Line::SettingsReloaded.as_str(), file = %file.display());
-                reloads.follow(&read);
+                reloader.apply(&read);
                 settings = read;
                 refused.clear();
             }
--- a/src/cmd/timeline.rs
+++ b/src/cmd/timeline.rs
@@ -3,7 +3,7 @@
 use super::client::Client;
 use super::{page, Failure};
 use crate::cli::Timeline;
-use node::Lane;
+use node::Dump;
 use serde::Serialize;
 use state::event::Event;
 use state::id::{CustomerId, EndpointId, Name, RequestId};
@@ -21,7 +21,7 @@
 /// Prints the merged time line.
 pub(crate) fn run(args: &Timeline) -> Result<(), Failure> {
     let client = Client { key: &args.key };
-    let mut lanes: Vec<Lane> = Vec::new();
+    let mut lanes: Vec<Dump> = Vec::new();
     for peer in client.fleet(args.operators)? {
         match client.json(peer.operators, "/events") {
             Ok(lane) => lanes.push(lane),
@@ -44,7 +44,7 @@
 }
 
 /// All events in the order of their stamps: cause before effect.
-fn merge(lanes: Vec<Lane>) -> Vec<Line> {
+fn merge(lanes: Vec<Dump>) -> Vec<Line> {
     let mut lines: Vec<Line> = lanes
         .into_iter()
         .flat_map(|lane| {
