--- a/components/node/src/batch.rs
+++ b/components/node/src/batch.rs
@@ -67,7 +67,7 @@
             hub.send(&vm, Message::Reports(epoch, reports));
         }
         for (vm, all) in self.introductions.drain(..) {
-            hub.send(&vm, Message::Introductions(all));
+            hub.send(&vm, Message::EndpointDetails(all));
         }
         for (vm, grants) in self.grants.drain(..) {
             hub.send(&vm, Message::Grants(grants));
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -7,7 +7,7 @@
 use coordination::assignment::{Assigner, Site};
 use errors::{Error, Result};
 use protocol::codec;
-use protocol::wire::{Hello, Leaving, Message, Query, Reply};
+use protocol::wire::{Drain, Hello, Message, Query, Reply};
 use serde::{Deserialize, Serialize};
 use state::clock::Millis;
 use state::delta::Delta;
@@ -147,7 +147,7 @@
         core.admit_by(match parts.admission {
             Admission::Seeds => Admission::Seeds,
             Admission::Open { begins, voters } => Admission::Open {
-                begins: folder.begins(begins)?,
+                begins: folder.may_bootstrap(begins)?,
                 voters,
             },
         });
@@ -235,10 +235,10 @@
             return;
         };
         match message {
-            Message::Agree(envelope) if self.is_control(vm) => {
+            Message::Consensus(envelope) if self.is_control(vm) => {
                 self.core.step(now, &place, envelope);
             }
-            Message::Beat {
+            Message::Heartbeat {
                 region,
                 data_centre,
                 incarnation,
@@ -271,8 +271,8 @@
             return;
         }
         let record = match query {
-            Query::Head => {
-                self.reply(vm, id, Reply::Head(self.store.view.version));
+            Query::CurrentVersion => {
+                self.reply(vm, id, Reply::CurrentVersion(self.store.view.version));
                 return;
             }
             other => self.record(other),
@@ -297,7 +297,7 @@
     /// The record that a query asks for, or why it is wrong.
     fn record(&self, query: Query) -> Result<Record, String> {
         match query {
-            Query::Head => Ok(Record::Blank),
+            Query::CurrentVersion => Ok(Record::Blank),
             Query::Claim {
                 key,
                 customer,
@@ -326,11 +326,11 @@
                 Ok(Record::Change { id, base, delta })
             }
             Query::Release(release) => Ok(Record::Release(release)),
-            Query::Suspects(evidence) => Ok(Record::Suspects {
+            Query::Evidence(evidence) => Ok(Record::Suspects {
                 at: self.parts.clock.stamp(),
                 evidence,
             }),
-            Query::Depart(leaving) => self.departure(leaving).map(Record::Departure),
+            Query::Drain(leaving) => self.departure(leaving).map(Record::Departure),
             Query::Evacuation(order) => Ok(Record::Evacuation {
                 at: self.parts.clock.stamp(),
                 order,
@@ -338,15 +338,15 @@
         }
     }
 
-    fn departure(&self, leaving: Leaving) -> Result<Departure, String> {
+    fn departure(&self, leaving: Drain) -> Result<Departure, String> {
         let endpoint = |name: &Name| {
             let found = self.store.view.config.endpoint(name);
             found.ok_or_else(|| format!("no endpoint {name} is in force"))
         };
         match leaving {
-            Leaving::Endpoint(name) => endpoint(&name).map(Departure::Endpoint),
-            Leaving::EndpointBack(name) => endpoint(&name).map(Departure::EndpointBack),
-            Leaving::Vm(name, incarnation) => Ok(Departure::Vm(name, incarnation)),
+            Drain::Endpoint(name) => endpoint(&name).map(Departure::Endpoint),
+            Drain::EndpointBack(name) => endpoint(&name).map(Departure::EndpointBack),
+            Drain::Vm(name, incarnation) => Ok(Departure::Vm(name, incarnation)),
         }
     }
 
@@ -437,7 +437,7 @@
             }
             self.carry_out(ready)?;
         }
-        if self.folder.wants_snapshot() {
+        if self.folder.needs_snapshot() {
             self.compact()?;
         }
         self.tell_fresh();
@@ -463,7 +463,7 @@
 
     fn carry_out(&mut self, ready: Ready) -> Result<()> {
         for (place, envelope) in ready.messages {
-            self.parts.hub.send(&place.vm, Message::Agree(envelope));
+            self.parts.hub.send(&place.vm, Message::Consensus(envelope));
         }
         if let Some(snapshot) = ready.install {
             self.store = restore(&snapshot)?;
@@ -497,7 +497,7 @@
         let Some(term) = log.term(index) else {
             return Ok(());
         };
-        let bytes = codec::pack(&self.store)?;
+        let bytes = codec::encode_value(&self.store)?;
         let snapshot = Snapshot {
             index,
             term,
@@ -505,7 +505,8 @@
             bytes: Arc::new(bytes),
         };
         let tail = log.from(index.next(), usize::MAX);
-        self.folder.renew(&snapshot, self.core.hard(), &tail)?;
+        self.folder
+            .start_generation(&snapshot, self.core.hard(), &tail)?;
         self.core.compact(snapshot);
         Ok(())
     }
@@ -545,8 +546,8 @@
         set("term", self.core.term().0);
         set("accepted", self.core.commit().0);
         set("leads", u64::from(self.core.role() == Role::Leader));
-        set("log_bytes", self.folder.length());
-        set("syncs", self.folder.syncs());
+        set("log_bytes", self.folder.log_bytes());
+        set("syncs", self.folder.sync_count());
         set("claims", self.store.claims.len() as u64);
     }
 
@@ -561,8 +562,8 @@
             last: self.core.log().last().0,
             voters: names(&members.voters),
             learners: names(&members.learners),
-            log_bytes: self.folder.length(),
-            syncs: self.folder.syncs(),
+            log_bytes: self.folder.log_bytes(),
+            syncs: self.folder.sync_count(),
             claims: self.store.claims.len(),
         }
     }
@@ -570,8 +571,11 @@
 
 /// A record that can be sent to the other control VMs, or why it cannot.
 fn checked(record: Record) -> Result<Record, String> {
-    if record.is_large() && !codec::fits(&record) {
-        return Err(format!("it has more than {} bytes", codec::RECORD_MAX));
+    if record.is_large() && !codec::fits_record(&record) {
+        return Err(format!(
+            "it has more than {} bytes",
+            codec::MAX_RECORD_BYTES
+        ));
     }
     Ok(record)
 }
@@ -580,7 +584,7 @@
     if snapshot.bytes.is_empty() {
         return Ok(Store::default());
     }
-    codec::unpack(&snapshot.bytes).map_err(|_| Error::Corrupt {
+    codec::decode_value(&snapshot.bytes).map_err(|_| Error::Corrupt {
         step: "read the state",
         path: "(snapshot)".to_owned(),
         reason: "it was written by another version of this program".to_owned(),
--- a/components/node/src/dissemination.rs
+++ b/components/node/src/dissemination.rs
@@ -139,7 +139,7 @@
         }
         self.told_size = routers;
         for child in self.tree.children() {
-            hub.send(child, Message::Size(routers));
+            hub.send(child, Message::FleetSize(routers));
         }
     }
 
@@ -155,7 +155,7 @@
         let sum = own + self.subtrees.values().sum::<u32>();
         if own != self.told_subtree {
             for root in others() {
-                hub.send(&root.vm, Message::Subtree(own));
+                hub.send(&root.vm, Message::SubtreeSize(own));
             }
             self.told_subtree = own;
         }
@@ -279,7 +279,7 @@
             self.history.pop_front();
         }
         for child in self.tree.children() {
-            hub.send(child, Message::Steps(news.clone()));
+            hub.send(child, Message::Updates(news.clone()));
         }
         true
     }
@@ -291,7 +291,7 @@
         }
         self.history.clear();
         for child in self.tree.children() {
-            hub.send(child, Message::Whole(Box::new(view.clone())));
+            hub.send(child, Message::FullView(Box::new(view.clone())));
         }
         true
     }
@@ -314,7 +314,7 @@
         }
         self.pulse = Some(now);
         for child in self.tree.children() {
-            hub.send(child, Message::Pulse(head));
+            hub.send(child, Message::VersionProof(head));
         }
     }
 
@@ -337,26 +337,26 @@
         let vm = place.vm.clone();
         let was_child = self.feeds(&vm);
         if let Some(nearer) = self.nearer(now, hub, &vm, &data_centre) {
-            hub.send(&vm, Message::Elsewhere(nearer));
+            hub.send(&vm, Message::Redirect(nearer));
             return false;
         }
         if let Welcome::Elsewhere(other) = self.tree.welcome(place, &data_centre, version) {
-            hub.send(&vm, Message::Elsewhere(other));
+            hub.send(&vm, Message::Redirect(other));
             return false;
         }
         let first = self.history.front().map(|s| s.version.0);
         let reach = first.is_some_and(|first| first <= version.0 + 1);
         let message = if version >= view.version {
-            Message::Pulse(view.version)
+            Message::VersionProof(view.version)
         } else if reach {
             let missed = self.history.iter().filter(|s| s.version > version);
-            Message::Steps(missed.cloned().collect())
+            Message::Updates(missed.cloned().collect())
         } else {
-            Message::Whole(Box::new(view.clone()))
+            Message::FullView(Box::new(view.clone()))
         };
         hub.send(&vm, message);
         if let Some(size) = self.size.filter(|_| !was_child) {
-            hub.send(&vm, Message::Size(size));
+            hub.send(&vm, Message::FleetSize(size));
         }
         !was_child
     }
@@ -460,7 +460,7 @@
                 if *fresh && now >= *pulse_at {
                     *pulse_at = now.after(PULSE_MS);
                     for child in self.tree.children() {
-                        hub.send(child, Message::Pulse(version));
+                        hub.send(child, Message::VersionProof(version));
                     }
                 }
             }
@@ -476,7 +476,7 @@
                         None => CHECK_FIRST_MS,
                     };
                     self.check_at = now.after(pause_ms);
-                    hub.send(&parent.vm, Message::Check(now.0));
+                    hub.send(&parent.vm, Message::ProofRequest(now.0));
                 }
                 // A parent that is cut off with us, or that we are above of in a
                 // ring, passes on no pulse; only a root can begin one.
@@ -542,7 +542,7 @@
 
     fn send_away(&mut self, hub: &Hub, vm: &Name) {
         if let Some(other) = self.tree.send_away(&self.seeds, &self.me, vm) {
-            hub.send(vm, Message::Elsewhere(other));
+            hub.send(vm, Message::Redirect(other));
         }
     }
 }
--- a/components/node/src/evacuation.rs
+++ b/components/node/src/evacuation.rs
@@ -60,7 +60,7 @@
 
     /// Gives an order that holds unless a later one has come meanwhile.
     async fn fenced(&self, data_centre: Name, is_evacuated: bool) -> Option<Outcome> {
-        let Reply::Head(base) = self.ask(Query::Head).await? else {
+        let Reply::CurrentVersion(base) = self.ask(Query::CurrentVersion).await? else {
             return None;
         };
         let order = Order {
--- a/components/node/src/front/admit.rs
+++ b/components/node/src/frontend/admit.rs
@@ -1,6 +1,6 @@
 //! What is checked before a request is looked at: readiness, framing, customer, body.
 
-use super::listen::{Front, BODY_UNIT};
+use super::listen::{Frontend, BODY_UNIT};
 use super::note::Note;
 use super::refusal::Refusal;
 use super::upstream::Call;
@@ -33,20 +33,20 @@
 
 /// Checks what the head alone tells; gives what it asks for.
 pub(super) fn admit(
-    front: &Front,
+    frontend: &Frontend,
     published: &Published,
     head: &Parts,
     note: &mut Note,
 ) -> Result<Asked, Refusal> {
-    let asked = (front.parts.interface.ask)(head);
+    let asked = (frontend.context.interface.ask)(head);
     if let Ok(asked) = &asked {
         // First of all: a refused request must be found by its caller's identity too.
         note.identify(asked.identity.clone());
     }
     check_ready(published)?;
-    check_lateness(front, note.id())?;
+    check_lateness(frontend, note.id())?;
     check_framing(head)?;
-    check_size(head, front.parts.callers.head_max)?;
+    check_size(head, frontend.context.callers.head_max)?;
     asked.map_err(|reason| Refusal::not_run(StatusCode::BAD_REQUEST, "bad-head", reason))
 }
 
@@ -70,8 +70,8 @@
 /// can serve them, they waited 1 to 2 s for refusals, and nothing that the router held
 /// moved on in time. Refused at once they come back to another router, and the
 /// processor stays with those that were let in.
-fn check_lateness(front: &Front, id: RequestId) -> Result<(), Refusal> {
-    if front.parts.lateness.request() == Intake::Take {
+fn check_lateness(frontend: &Frontend, id: RequestId) -> Result<(), Refusal> {
+    if frontend.context.lateness.request() == Intake::Take {
         return Ok(());
     }
     let text = "this router has more to do than it can in time; another one may have room";
@@ -86,10 +86,10 @@
 /// A router that is cut off does not hear that a key was taken away. Served on,
 /// its holder would be seen to use it long after the operators were told that
 /// it is gone.
-pub(super) fn check_proof(front: &Front, published: &Published) -> Result<(), Refusal> {
-    let now = front.parts.clock.now();
+pub(super) fn check_proof(frontend: &Frontend, published: &Published) -> Result<(), Refusal> {
+    let now = frontend.context.clock.now();
     let age = published.proof.map_or(u64::MAX, |at| now.since(at));
-    match front.parts.stale_ms {
+    match frontend.context.max_proof_age_ms {
         Some(bound) if age > bound => {
             let text = "this router is cut off from control for longer than allowed";
             let status = StatusCode::SERVICE_UNAVAILABLE;
@@ -173,20 +173,20 @@
 /// connections that each send a large body would else fill the memory before
 /// any queue could refuse them.
 pub(super) async fn read(
-    front: &Front,
+    frontend: &Frontend,
     id: RequestId,
     identity: Option<HeaderValue>,
     head: Parts,
     mut body: Incoming,
 ) -> Result<Call, Refusal> {
-    let max = front.parts.callers.body_max;
+    let max = frontend.context.callers.body_max;
     // CAST: `usize` is at most 64 bits on every supported target.
     if body.size_hint().lower() > max as u64 {
         discard(body, max).await;
         return Err(too_large(max));
     }
-    let time = Duration::from_millis(front.parts.callers.body_ms);
-    let reading = tokio::time::timeout(time, collect(front, &mut body, max)).await;
+    let time = Duration::from_millis(frontend.context.callers.body_ms);
+    let reading = tokio::time::timeout(time, collect(frontend, &mut body, max)).await;
     let (body, memory) = match reading {
         Ok(Ok(collected)) => collected,
         Ok(Err(refusal)) => {
@@ -214,7 +214,7 @@
 
 /// Collects a body, with its part of the memory for bodies.
 async fn collect(
-    front: &Front,
+    frontend: &Frontend,
     body: &mut Incoming,
     max: usize,
 ) -> Result<(Bytes, Option<OwnedSemaphorePermit>), Refusal> {
@@ -235,7 +235,7 @@
         let held = memory.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
         let wanted = bytes.len().div_ceil(BODY_UNIT).saturating_sub(held);
         let wanted = u32::try_from(wanted).unwrap_or(u32::MAX);
-        let more = front.bodies.clone().try_acquire_many_owned(wanted);
+        let more = frontend.bodies.clone().try_acquire_many_owned(wanted);
         let more = more.map_err(|_| {
             let text = "the bodies that this router holds take all the memory for them";
             Refusal::not_run(StatusCode::TOO_MANY_REQUESTS, "bodies-full", text).after(1)
--- a/components/node/src/front/claim.rs
+++ b/components/node/src/frontend/claim.rs
@@ -1,6 +1,6 @@
 //! Idempotency keys: claimed at the control VMs before anything is sent.
 
-use super::listen::Front;
+use super::listen::Frontend;
 use super::refusal::{insert, Refusal, OUTCOME};
 use super::upstream::Call;
 use crate::input::Input;
@@ -25,7 +25,7 @@
 
 /// A claimed key. Dropped without word, it reports that nothing is known.
 pub(crate) struct Claim {
-    front: Arc<Front>,
+    frontend: Arc<Frontend>,
     key: Hash,
     request: RequestId,
     /// Whether any byte may have been sent.
@@ -43,7 +43,7 @@
 
 /// Claims the key of a call.
 pub(crate) async fn claim(
-    front: &Arc<Front>,
+    frontend: &Arc<Frontend>,
     call: &Call,
     customer: CustomerId,
     key: &[u8],
@@ -62,7 +62,7 @@
     let fingerprint = Hash::of(&[method, path.as_bytes(), &call.body]);
     let key = Hash::of(&[&customer.0.to_be_bytes(), key]);
     let mut claim = Claim {
-        front: front.clone(),
+        frontend: frontend.clone(),
         key,
         request: call.id,
         sent: false,
@@ -75,11 +75,11 @@
         request: call.id,
     };
     let (sender, mut receiver) = oneshot::channel();
-    let _ = front.parts.reactor.send(Input::Query(query, sender));
+    let _ = frontend.context.reactor.send(Input::Query(query, sender));
     match tokio::time::timeout(wait, &mut receiver).await {
         Ok(Ok(Reply::Answer(Answer::Fresh))) => {
             let event = Event::new(Step::Claimed).request(call.id);
-            front.parts.journal.note(event.customer(customer));
+            frontend.context.journal.note(event.customer(customer));
             Ok(Claimed::Ours(claim))
         }
         Ok(Ok(Reply::Answer(Answer::Taken(first, known)))) => {
@@ -172,7 +172,11 @@
             known,
         };
         let (sender, receiver) = oneshot::channel();
-        let _ = self.front.parts.reactor.send(Input::Query(query, sender));
+        let _ = self
+            .frontend
+            .context
+            .reactor
+            .send(Input::Query(query, sender));
         // The query is repeated for as long as its receiver lives.
         tokio::spawn(tokio::time::timeout(SETTLE, receiver));
     }
--- a/components/node/src/front/delivery.rs
+++ b/components/node/src/frontend/delivery.rs
@@ -1,7 +1,7 @@
 //! One delivery of a request to an endpoint, as far as it tells whether the request crashes
 //! endpoints.
 
-use super::listen::Front;
+use super::listen::Frontend;
 use super::refusal::Refusal;
 use super::upstream::Call;
 use crate::input::Input;
@@ -14,7 +14,7 @@
 
 /// A delivery that is under way.
 pub(crate) struct Delivery {
-    front: Arc<Front>,
+    frontend: Arc<Frontend>,
     fingerprint: Fingerprint,
     customer: CustomerId,
     sent: Stamp,
@@ -22,12 +22,12 @@
 
 impl Delivery {
     /// A delivery that begins now.
-    pub(crate) fn new(front: &Arc<Front>, call: &Call, customer: CustomerId) -> Self {
+    pub(crate) fn new(frontend: &Arc<Frontend>, call: &Call, customer: CustomerId) -> Self {
         Delivery {
-            front: front.clone(),
+            frontend: frontend.clone(),
             fingerprint: call.fingerprint(),
             customer,
-            sent: front.parts.clock.stamp(),
+            sent: frontend.context.clock.stamp(),
         }
     }
 
@@ -37,30 +37,40 @@
             fingerprint: self.fingerprint,
             customer: self.customer,
             sent: self.sent,
-            at: self.front.parts.clock.stamp(),
+            at: self.frontend.context.clock.stamp(),
         };
-        if self.front.successes().exonerate(&crash) {
+        if self.frontend.successes().exonerate(&crash) {
             return;
         }
         // The reactor ends only together with this process.
-        let _ = self.front.parts.reactor.send(Input::Crashed(crash));
+        let _ = self.frontend.context.reactor.send(Input::Crashed(crash));
     }
 
     /// Its endpoint has answered whole, and not that it failed.
     pub(crate) fn answered(&self) {
         let clearance = Clearance {
             fingerprint: self.fingerprint,
-            at: self.front.parts.clock.stamp(),
+            at: self.frontend.context.clock.stamp(),
         };
-        self.front.successes().answered(&clearance);
-        if !self.front.parts.verdicts.borrow().knows(&self.fingerprint) {
+        self.frontend.successes().answered(&clearance);
+        if !self
+            .frontend
+            .context
+            .verdicts
+            .borrow()
+            .knows(&self.fingerprint)
+        {
             return;
         }
-        let _ = self.front.parts.reactor.send(Input::Cleared(clearance));
+        let _ = self
+            .frontend
+            .context
+            .reactor
+            .send(Input::Cleared(clearance));
     }
 }
 
-impl Front {
+impl Frontend {
     fn successes(&self) -> MutexGuard<'_, Successes> {
         let successes = self.successes.lock();
         successes.unwrap_or_else(PoisonError::into_inner)
@@ -68,7 +78,7 @@
 
     /// Refuses a request that is in quarantine.
     pub(crate) fn check_quarantine(&self, call: &Call) -> Result<(), Refusal> {
-        let verdicts = self.parts.verdicts.borrow();
+        let verdicts = self.context.verdicts.borrow();
         if verdicts.is_empty() || !verdicts.is_quarantined(&call.fingerprint()) {
             return Ok(());
         }
@@ -77,7 +87,7 @@
 
     /// Waits until a request is put into quarantine.
     pub(crate) async fn until_quarantined(&self, call: &Call) {
-        let mut verdicts = self.parts.verdicts.clone();
+        let mut verdicts = self.context.verdicts.clone();
         let found = verdicts.wait_for(|v| !v.is_empty() && v.is_quarantined(&call.fingerprint()));
         if found.await.is_err() {
             // The reactor has ended, and this process with it.
--- a/components/node/src/front/listen.rs
+++ b/components/node/src/frontend/listen.rs
@@ -51,22 +51,22 @@
 const TEND: Duration = Duration::from_secs(1);
 
 /// What the callers' side is given.
-pub(crate) struct Parts {
+pub(crate) struct Context {
     /// Settings.
     pub(crate) callers: Callers,
     /// Requests of one customer that may wait here.
-    pub(crate) queue_customer: u32,
+    pub(crate) customer_queue_limit: u32,
     /// What it may take on.
     pub(crate) budget: Budget,
     /// How late tasks of this process run.
     pub(crate) lateness: Lateness,
     /// Age of the last proof of the newest version past which customers are
     /// refused, in milliseconds.
-    pub(crate) stale_ms: Option<u64>,
+    pub(crate) max_proof_age_ms: Option<u64>,
     /// How callers and endpoints speak.
     pub(crate) interface: Interface,
     /// Bounds on retries.
-    pub(crate) retries: retry::Bounds,
+    pub(crate) retry_bounds: retry::Bounds,
     /// Data centre of this VM.
     pub(crate) data_centre: Name,
     /// Incarnation of this process.
@@ -86,8 +86,8 @@
 }
 
 /// The callers' side.
-pub(crate) struct Front {
-    pub(crate) parts: Parts,
+pub(crate) struct Frontend {
+    pub(crate) context: Context,
     pub(crate) requests: AtomicU64,
     /// Retries that this router may add, by service.
     budgets: Mutex<HashMap<ServiceId, retry::Budget>>,
@@ -107,20 +107,20 @@
     pub(super) successes: Mutex<Successes>,
 }
 
-impl Front {
+impl Frontend {
     /// Makes it.
-    pub(crate) fn new(parts: Parts) -> Arc<Self> {
-        let units = usize::try_from(parts.budget.body_bytes).unwrap_or(usize::MAX) / BODY_UNIT;
+    pub(crate) fn new(context: Context) -> Arc<Self> {
+        let units = usize::try_from(context.budget.body_bytes).unwrap_or(usize::MAX) / BODY_UNIT;
         let units = units.clamp(1, Semaphore::MAX_PERMITS);
-        Arc::new(Front {
+        Arc::new(Frontend {
             bodies: Arc::new(Semaphore::new(units)),
             body_units: units,
-            places: Arc::new(Semaphore::new(parts.budget.connections)),
+            places: Arc::new(Semaphore::new(context.budget.connections)),
             busy_lines: Mutex::new(Ceiling::new(BUSY_LINES)),
             successes: Mutex::default(),
-            pool: Arc::new(Pool::new(parts.budget.kept)),
-            guests: Guests::new(parts.clock.clone()),
-            parts,
+            pool: Arc::new(Pool::new(context.budget.kept)),
+            guests: Guests::new(context.clock.clone()),
+            context,
             requests: AtomicU64::new(0),
             budgets: Mutex::default(),
         })
@@ -133,19 +133,19 @@
         }
         let lines = self.busy_lines.lock();
         let mut lines = lines.unwrap_or_else(PoisonError::into_inner);
-        lines.admits(self.parts.clock.now())
+        lines.admits(self.context.clock.now())
     }
 
     /// Callers' connections that are open.
     pub(crate) fn connections(&self) -> usize {
         let free = self.places.available_permits();
-        self.parts.budget.connections.saturating_sub(free)
+        self.context.budget.connections.saturating_sub(free)
     }
 
     /// Counts the first try of a request.
     pub(crate) fn earn_retries(&self, service: ServiceId) {
-        let now = self.parts.clock.now();
-        let routers = self.parts.published.borrow().routers;
+        let now = self.context.clock.now();
+        let routers = self.context.published.borrow().routers;
         self.with_budget(service, |budget| budget.earn(now, routers));
     }
 
@@ -155,8 +155,8 @@
         F: FnOnce(&mut retry::Budget) -> R,
     {
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
-        let now = self.parts.clock.now();
-        let bounds = self.parts.retries;
+        let now = self.context.clock.now();
+        let bounds = self.context.retry_bounds;
         work((budgets.entry(service)).or_insert_with(|| retry::Budget::new(bounds, now)))
     }
 
@@ -168,7 +168,7 @@
                 _ = period.tick() => {}
                 () = raised(&mut stop) => return,
             }
-            let view = self.parts.published.borrow().view.clone();
+            let view = self.context.published.borrow().view.clone();
             let lives = |(id, address): &Key| {
                 let found = view.config.endpoints.get(id);
                 // One that is not held here may live: its connections end by their age.
@@ -184,27 +184,27 @@
     }
 
     fn measure(&self) {
-        let metrics = &self.parts.metrics;
+        let metrics = &self.context.metrics;
         metrics.kept.set(value(self.pool.len()));
         let free = self.bodies.available_permits();
         let taken = self.body_units.saturating_sub(free) * BODY_UNIT;
         metrics.body_bytes.set(value(taken));
-        metrics.inputs.set(value(self.parts.reactor.len()));
+        metrics.inputs.set(value(self.context.reactor.len()));
     }
 
     /// The next connection that is let in; while tasks run late others are closed unread.
     async fn next(&self, listener: &TcpListener) -> TcpStream {
         loop {
-            if !self.parts.lateness.may_accept() {
+            if !self.context.lateness.may_accept() {
                 tokio::time::sleep(PROBE).await;
                 continue;
             }
             let stream = accept(listener).await;
-            if self.parts.lateness.connection() == Intake::Take {
+            if self.context.lateness.connection() == Intake::Take {
                 return stream;
             }
             // Its task would run after all that is late.
-            self.parts.metrics.turned_away.inc();
+            self.context.metrics.turned_away.inc();
         }
     }
 
@@ -236,12 +236,12 @@
             };
             let Some(place) = self.place().await else {
                 // Past the bound a connection is closed at once: it costs nothing.
-                self.parts.metrics.turned_away.inc();
+                self.context.metrics.turned_away.inc();
                 continue;
             };
-            let (front, stop) = (self.clone(), stop.clone());
+            let (frontend, stop) = (self.clone(), stop.clone());
             tasks.spawn(async move {
-                front.connection(stream, stop).await;
+                frontend.connection(stream, stop).await;
                 drop(place);
             });
         }
@@ -252,15 +252,15 @@
     async fn connection(self: Arc<Self>, stream: TcpStream, mut stop: watch::Receiver<bool>) {
         // Small events must not wait for more of them.
         let _ = stream.set_nodelay(true);
-        self.parts.metrics.connections.inc();
-        self.parts.metrics.accepted.inc();
+        self.context.metrics.connections.inc();
+        self.context.metrics.accepted.inc();
         let place = Arc::new(self.guests.open());
-        let (front, of) = (self.clone(), place.clone());
+        let (frontend, of) = (self.clone(), place.clone());
         let service = service_fn(move |request| {
-            let (front, in_use) = (front.clone(), of.begin());
+            let (frontend, in_use) = (frontend.clone(), of.begin());
             // Boxed, so that a connection holds it only while a request is on it.
             Box::pin(async move {
-                let reply = serve(front, request).await?;
+                let reply = serve(frontend, request).await?;
                 if let Some(Until(at)) = reply.extensions().get() {
                     in_use.answers_until(*at);
                 }
@@ -274,8 +274,8 @@
         });
         let connection = hyper::server::conn::http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(Duration::from_millis(self.parts.callers.head_ms))
-            .max_buf_size(2 * self.parts.callers.head_max)
+            .header_read_timeout(Duration::from_millis(self.context.callers.head_ms))
+            .max_buf_size(2 * self.context.callers.head_max)
             .serve_connection(TokioIo::new(stream), service);
         tokio::pin!(connection);
         let ended = tokio::select! {
@@ -297,6 +297,6 @@
         if let Err(error) = ended {
             tracing::debug!(%error, "a caller's connection ended early");
         }
-        self.parts.metrics.connections.dec();
+        self.context.metrics.connections.dec();
     }
 }
--- a/components/node/src/front/mod.rs
+++ b/components/node/src/frontend/mod.rs
@@ -14,4 +14,4 @@
 mod serve;
 mod upstream;
 
-pub(crate) use listen::{Front, Parts};
+pub(crate) use listen::{Context, Frontend};
--- a/components/node/src/front/plan.rs
+++ b/components/node/src/frontend/plan.rs
@@ -1,7 +1,7 @@
 //! Which rule decides a request, and what follows from it.
 
 use super::admit::check_proof;
-use super::listen::Front;
+use super::listen::Frontend;
 use super::refusal::Refusal;
 use super::upstream::Call;
 use crate::interface::Asked;
@@ -50,7 +50,7 @@
 
 /// Finds the rule that decides, and what follows from it.
 pub(super) fn plan(
-    front: &Front,
+    frontend: &Frontend,
     published: &Published,
     asked: &Asked,
     call: &mut Call,
@@ -59,8 +59,14 @@
     let key = asked.key.as_ref();
     let id = key.and_then(|k| published.index.customer(k));
     let known = id.and_then(|id| Some((id, config.customers.get(&id)?)));
-    let decided = decide(front, published, asked, call, known.map(|(_, c)| &c.name));
-    let (place, rule) = decided.map_err(|refusal| doubt(front, published, refusal))?;
+    let decided = decide(
+        frontend,
+        published,
+        asked,
+        call,
+        known.map(|(_, c)| &c.name),
+    );
+    let (place, rule) = decided.map_err(|refusal| doubt(frontend, published, refusal))?;
     let send = match &rule.then {
         Then::Refuse { reason } => {
             let status = StatusCode::FORBIDDEN;
@@ -69,10 +75,10 @@
         Then::Send(send) => send,
     };
     if known.is_none() && !send.anonymous {
-        return Err(doubt(front, published, unknown_customer()));
+        return Err(doubt(frontend, published, unknown_customer()));
     }
     if known.is_some() {
-        check_proof(front, published)?;
+        check_proof(frontend, published)?;
     }
     let service = send.service(rand::random()).ok_or_else(no_endpoint)?;
     if let Some((_, customer)) = known {
@@ -94,7 +100,7 @@
     if homes.is_empty() {
         return Err(no_endpoint());
     }
-    let now = front.parts.clock.now();
+    let now = frontend.context.clock.now();
     let arrival = Arrival {
         service: service_id,
         class,
@@ -102,7 +108,10 @@
         priority: known.and_then(|(_, c)| c.priority).unwrap_or(send.priority),
         rate: send.limits.rate.unwrap_or(0),
         concurrency: send.limits.concurrency.unwrap_or(0),
-        queue: send.limits.queue.unwrap_or(front.parts.queue_customer),
+        queue: send
+            .limits
+            .queue
+            .unwrap_or(frontend.context.customer_queue_limit),
         hint: hint(asked, settings, &prompt),
         prompt,
         bytes: call.body.len() as u64,
@@ -129,13 +138,13 @@
 /// A router that is cut off lacks keys and rules that were added since. Told that
 /// theirs does not exist, callers would give up, though any other router serves
 /// them.
-fn doubt(front: &Front, published: &Published, refusal: Refusal) -> Refusal {
-    check_proof(front, published).err().unwrap_or(refusal)
+fn doubt(frontend: &Frontend, published: &Published, refusal: Refusal) -> Refusal {
+    check_proof(frontend, published).err().unwrap_or(refusal)
 }
 
 /// The rule that decides, or why none does.
 fn decide<'a>(
-    front: &Front,
+    frontend: &Frontend,
     published: &'a Published,
     asked: &Asked,
     call: &Call,
@@ -153,7 +162,7 @@
         host: host.as_deref(),
         path: call.uri.path(),
         headers: &headers,
-        data_centre: &front.parts.data_centre,
+        data_centre: &frontend.context.data_centre,
         // CAST: `usize` is at most 64 bits on every supported target.
         size: asked.size.map_or(call.body.len() as u64, u64::from),
     };
--- a/components/node/src/front/serve.rs
+++ b/components/node/src/frontend/serve.rs
@@ -3,7 +3,7 @@
 use super::admit::{admit, discard, read, BUSY, ELSEWHERE};
 use super::claim::{claim, Claim, Claimed};
 use super::delivery::{quarantined, Delivery};
-use super::listen::Front;
+use super::listen::Frontend;
 use super::note::Note;
 use super::plan::{no_endpoint, plan, Plan, NO_ENDPOINT, NO_ENDPOINT_RETURN};
 use super::refusal::{insert, Refusal, OUTCOME};
@@ -48,19 +48,19 @@
 
 /// Serves one request. It never fails: an error is an answer too.
 pub(crate) async fn serve(
-    front: Arc<Front>,
+    frontend: Arc<Frontend>,
     request: Request<Incoming>,
 ) -> Result<Reply, std::convert::Infallible> {
     let id = RequestId {
-        router: front.parts.incarnation,
-        count: front.requests.fetch_add(1, Ordering::Relaxed),
+        router: frontend.context.incarnation,
+        count: frontend.requests.fetch_add(1, Ordering::Relaxed),
     };
     let began = Instant::now();
-    let published = front.parts.published.borrow().clone();
-    let now = front.parts.clock.now();
-    let metrics = front.parts.metrics.clone();
+    let published = frontend.context.published.borrow().clone();
+    let now = frontend.context.clock.now();
+    let metrics = frontend.context.metrics.clone();
     let mut note = Note::new(id, began, now, &published, metrics);
-    let answered = answer(&front, &published, &mut note, request, began).await;
+    let answered = answer(&frontend, &published, &mut note, request, began).await;
     let is_busy = matches!(&answered, Err(refusal) if refusal.code == BUSY);
     let is_refused = answered.is_err();
     let reply = match answered {
@@ -76,23 +76,23 @@
             response.map(Either::Left)
         }
         Err(refusal) => {
-            count(&front, refusal.outcome, refusal.status);
-            if front.tells(&refusal) {
+            count(&frontend, refusal.outcome, refusal.status);
+            if frontend.tells(&refusal) {
                 let event = Event::new(Step::Refused).request(id);
-                front.parts.journal.note(event);
+                frontend.context.journal.note(event);
                 note.refused(&refusal);
             } else {
                 note.refused_untold(&refusal);
             }
-            (refusal.response(id, &front.parts.interface)).map(Either::Left)
+            (refusal.response(id, &frontend.context.interface)).map(Either::Left)
         }
     };
-    front
-        .parts
+    frontend
+        .context
         .metrics
         .duration
         .observe(began.elapsed().as_secs_f64());
-    Ok(last(&front, reply, is_busy, is_refused))
+    Ok(last(&frontend, reply, is_busy, is_refused))
 }
 
 /// Makes an answer the last one of its connection, once this process is stopping, schedules
@@ -102,10 +102,10 @@
 ///
 /// Closed instead, a connection could cross a request that its caller has just
 /// sent on it: one would see the request fail that could have been served.
-fn last(front: &Front, mut reply: Reply, is_busy: bool, is_refused: bool) -> Reply {
-    let is_scarce = front.parts.budget.is_scarce(front.connections());
-    let is_elsewhere = is_refused && front.parts.lateness.is_passed_over();
-    let published = front.parts.published.borrow();
+fn last(frontend: &Frontend, mut reply: Reply, is_busy: bool, is_refused: bool) -> Reply {
+    let is_scarce = frontend.context.budget.is_scarce(frontend.connections());
+    let is_elsewhere = is_refused && frontend.context.lateness.is_passed_over();
+    let published = frontend.context.published.borrow();
     if is_scarce || is_busy || is_elsewhere || published.is_dedicated || published.stopping {
         let close = HeaderValue::from_static("close");
         reply.headers_mut().insert(CONNECTION, close);
@@ -122,102 +122,102 @@
 }
 
 async fn answer(
-    front: &Arc<Front>,
+    frontend: &Arc<Frontend>,
     published: &Published,
     note: &mut Note,
     request: Request<Incoming>,
     began: Instant,
 ) -> Result<Served, Refusal> {
     let (head, body) = request.into_parts();
-    let asked = match admit(front, published, &head, note) {
+    let asked = match admit(frontend, published, &head, note) {
         Ok(asked) => asked,
         Err(refusal) => {
-            discard(body, front.parts.callers.body_max).await;
+            discard(body, frontend.context.callers.body_max).await;
             return Err(refusal);
         }
     };
     let id = note.id();
-    front
-        .parts
+    frontend
+        .context
         .journal
         .note(Event::new(Step::Taken).request(id));
-    let mut call = read(front, id, asked.identity.clone(), head, body).await?;
-    let plan = plan(front, published, &asked, &mut call)?;
+    let mut call = read(frontend, id, asked.identity.clone(), head, body).await?;
+    let plan = plan(frontend, published, &asked, &mut call)?;
     note.plan(&plan, call.customer.clone());
     let event = Event::new(Step::Taken).request(id);
-    front.parts.journal.note(event.customer(plan.customer));
+    frontend.context.journal.note(event.customer(plan.customer));
     let key = call.headers.get("idempotency-key").cloned();
     let mut claimed = None;
     if let Some(key) = key.filter(|_| !plan.idempotent) {
         let wait = plan.timeout.min(Duration::from_secs(10));
-        match claim(front, &call, plan.customer, key.as_bytes(), wait).await? {
+        match claim(frontend, &call, plan.customer, key.as_bytes(), wait).await? {
             Claimed::Ours(claim) => claimed = Some(claim),
             Claimed::Earlier(response) => {
-                count(front, Outcome::Answered, response.status());
+                count(frontend, Outcome::Answered, response.status());
                 return Ok(Served::Replayed(response));
             }
         }
     }
-    run(front, call, &plan, claimed, note, began).await
+    run(frontend, call, &plan, claimed, note, began).await
 }
 
 /// A queued request; when dropped, it leaves the queue.
 struct Waiting {
     handle: Option<Handle>,
     id: RequestId,
-    front: Arc<Front>,
+    frontend: Arc<Frontend>,
 }
 
 impl Drop for Waiting {
     fn drop(&mut self) {
         if let Some(handle) = self.handle {
             let event = Event::new(Step::CallerGone).request(self.id);
-            self.front.parts.journal.note(event);
-            let _ = self.front.parts.reactor.send(Input::Leave(handle));
+            self.frontend.context.journal.note(event);
+            let _ = self.frontend.context.reactor.send(Input::Leave(handle));
         }
     }
 }
 
 /// Waits for a turn, sends, and tries again where that is safe.
 async fn run(
-    front: &Arc<Front>,
+    frontend: &Arc<Frontend>,
     call: Call,
     plan: &Plan,
     mut claim: Option<Claim>,
     note: &mut Note,
     began: Instant,
 ) -> Result<Served, Refusal> {
-    front.check_quarantine(&call)?;
-    front.earn_retries(plan.service);
-    let (handle, mut decided) = arrive(front, plan).await?;
+    frontend.check_quarantine(&call)?;
+    frontend.earn_retries(plan.service);
+    let (handle, mut decided) = arrive(frontend, plan).await?;
     let mut retries = 0;
     let mut unconnected = 0;
     loop {
         let waiting = Waiting {
             handle: Some(handle),
             id: call.id,
-            front: front.clone(),
+            frontend: frontend.clone(),
         };
-        let dispatch = turn(front, &call, waiting, decided, retries, plan.idempotent).await?;
+        let dispatch = turn(frontend, &call, waiting, decided, retries, plan.idempotent).await?;
         note.dispatch(&dispatch, call.fingerprint());
-        note_dispatch(front, &call, plan, &dispatch, retries, began);
-        let delivery = Delivery::new(front, &call, plan.customer);
+        note_dispatch(frontend, &call, plan, &dispatch, retries, began);
+        let delivery = Delivery::new(frontend, &call, plan.customer);
         let mut slot = Slot {
             handle,
             id: call.id,
             cost: Meter::new(plan.cost, plan.arrival.prompt, plan.engine),
             verdict: Verdict::Gone,
             armed: true,
-            reactor: front.parts.reactor.clone(),
-            journal: front.parts.journal.clone(),
+            reactor: frontend.context.reactor.clone(),
+            journal: frontend.context.journal.clone(),
         };
         if let Some(claim) = &mut claim {
             claim.sending();
         }
         let left = plan.timeout.saturating_sub(began.elapsed());
         let way = upstream::Way {
-            interface: &front.parts.interface,
-            pool: &front.pool,
+            interface: &frontend.context.interface,
+            pool: &frontend.pool,
             once: !plan.idempotent,
             left,
         };
@@ -229,13 +229,18 @@
         };
         if let Some(backoff) = backoff {
             // Before the request is queued again: it must not come back there.
-            let _ = front.parts.reactor.send(Input::Backoff(handle, backoff));
+            let _ = frontend
+                .context
+                .reactor
+                .send(Input::Backoff(handle, backoff));
         }
         let failed = match sent {
-            Ok(Ok(answer)) => match front.failure(plan, retries, answer) {
+            Ok(Ok(answer)) => match frontend.failure(plan, retries, answer) {
                 Ok(answer) => {
                     let answering = (answer, delivery);
-                    return Ok(pass(front, answering, slot, claim, dispatch, plan, began));
+                    return Ok(pass(
+                        frontend, answering, slot, claim, dispatch, plan, began,
+                    ));
                 }
                 Err(failed) => failed,
             },
@@ -262,7 +267,7 @@
             // Nothing was sent: it costs no endpoint anything.
             note.failed(&failed, "elsewhere");
             slot.verdict = failed.verdict;
-            decided = again(front, slot).await?;
+            decided = again(frontend, slot).await?;
             unconnected += 1;
             continue;
         }
@@ -273,20 +278,20 @@
             retries_max: plan.retries,
             deadline: plan.arrival.deadline,
         };
-        let now = front.parts.clock.now();
-        let next = front.with_budget(plan.service, |budget| retry::after(attempt, now, budget));
+        let now = frontend.context.clock.now();
+        let next = frontend.with_budget(plan.service, |budget| retry::after(attempt, now, budget));
         note.failed(&failed, next.as_str());
         slot.verdict = failed.verdict;
         if next != Next::Again {
             return Err(give_up(next, &dispatch, &failed));
         }
-        decided = again(front, slot).await?;
+        decided = again(frontend, slot).await?;
         retries += 1;
     }
 }
 
 fn note_dispatch(
-    front: &Front,
+    frontend: &Frontend,
     call: &Call,
     plan: &Plan,
     dispatch: &Dispatch,
@@ -295,16 +300,19 @@
 ) {
     let step = if retries == 0 {
         let waited = began.elapsed().as_secs_f64();
-        front.parts.metrics.wait.observe(waited);
+        frontend.context.metrics.wait.observe(waited);
         Step::Sent
     } else {
         Step::Retried
     };
     let event = Event::new(step).request(call.id).service(plan.service);
-    front.parts.journal.note(event.endpoint(dispatch.endpoint));
+    frontend
+        .context
+        .journal
+        .note(event.endpoint(dispatch.endpoint));
 }
 
-impl Front {
+impl Frontend {
     /// Takes an endpoint's own failure for a failed try, where another endpoint
     /// may do better; else it is the answer.
     fn failure(&self, plan: &Plan, retries: u32, answer: Answer) -> Result<Answer, Failed> {
@@ -330,10 +338,10 @@
     }
 }
 
-async fn arrive(front: &Front, plan: &Plan) -> Result<(Handle, Decided), Refusal> {
+async fn arrive(frontend: &Frontend, plan: &Plan) -> Result<(Handle, Decided), Refusal> {
     let (sender, receiver) = oneshot::channel();
     let arrive = Input::Arrive(plan.arrival, sender);
-    if front.parts.reactor.send(arrive).is_err() {
+    if frontend.context.reactor.send(arrive).is_err() {
         return Err(no_endpoint());
     }
     let busy = |code, text: &str| {
@@ -362,27 +370,30 @@
 
 /// Waits until the request is to be sent, or has expired.
 async fn turn(
-    front: &Front,
+    frontend: &Frontend,
     call: &Call,
     mut waiting: Waiting,
     decided: Decided,
     retries: u32,
     idempotent: bool,
 ) -> Result<Dispatch, Refusal> {
-    front
-        .parts
+    frontend
+        .context
         .journal
         .note(Event::new(Step::Queued).request(call.id));
     let decision = tokio::select! {
         biased;
-        () = front.until_quarantined(call) => return Err(quarantined()),
+        () = frontend.until_quarantined(call) => return Err(quarantined()),
         decision = decided => decision,
     };
     waiting.handle = None;
     match decision {
         Ok(Decision::Dispatch(dispatch)) => {
             let event = Event::new(Step::Granted).request(call.id);
-            front.parts.journal.note(event.endpoint(dispatch.endpoint));
+            frontend
+                .context
+                .journal
+                .note(event.endpoint(dispatch.endpoint));
             Ok(dispatch)
         }
         Ok(Decision::Refused(refused)) => {
@@ -414,12 +425,12 @@
 }
 
 /// Queues a request again.
-async fn again(front: &Front, slot: Slot) -> Result<Decided, Refusal> {
+async fn again(frontend: &Frontend, slot: Slot) -> Result<Decided, Refusal> {
     let (sender, receiver) = oneshot::channel();
     let again = Input::Again(slot.handle, slot.verdict, sender);
     // The handle lives on: its slot is given back by `again`, not once more.
     slot.disarm();
-    let _ = front.parts.reactor.send(again);
+    let _ = frontend.context.reactor.send(again);
     receiver.await.map_err(|_| no_endpoint())
 }
 
@@ -439,7 +450,7 @@
 
 /// Passes an endpoint's answer on as it comes.
 fn pass(
-    front: &Front,
+    frontend: &Frontend,
     (answer, delivery): (Answer, Delivery),
     slot: Slot,
     claim: Option<Claim>,
@@ -452,7 +463,7 @@
     upstream::strip(&mut head.headers);
     insert(&mut head.headers, OUTCOME, Outcome::Answered.as_str());
     insert(&mut head.headers, IDENTITY, &slot.id.to_string());
-    count(front, Outcome::Answered, head.status);
+    count(frontend, Outcome::Answered, head.status);
     let kept = claim.map(|claim| {
         let (done, ended) = oneshot::channel();
         let kind = head.headers.get(CONTENT_TYPE).and_then(|v| v.to_str().ok());
@@ -478,12 +489,12 @@
         passed: None,
         resumed: None,
         has_begun: false,
-        lateness: front.parts.lateness.clone(),
+        lateness: frontend.context.lateness.clone(),
         note: None,
         ended: "caller-gone",
         way: Way {
             connection: Some(answer.connection),
-            pool: front.pool.clone(),
+            pool: frontend.pool.clone(),
             endpoint: (dispatch.endpoint, dispatch.address),
             keep,
         },
@@ -492,10 +503,10 @@
     Served::Relayed(head, Box::new(relay))
 }
 
-fn count(front: &Front, outcome: Outcome, status: StatusCode) {
+fn count(frontend: &Frontend, outcome: Outcome, status: StatusCode) {
     let labels = [outcome.as_str(), status.as_str()];
-    front
-        .parts
+    frontend
+        .context
         .metrics
         .requests
         .with_label_values(&labels)
--- a/components/node/src/lib.rs
+++ b/components/node/src/lib.rs
@@ -9,7 +9,7 @@
 mod dissemination;
 mod evacuation;
 mod fetch;
-mod front;
+mod frontend;
 mod http;
 mod input;
 mod interface;
--- a/components/node/src/operators.rs
+++ b/components/node/src/operators.rs
@@ -12,7 +12,7 @@
 use hyper::header::{HeaderName, HeaderValue, AUTHORIZATION, CONTENT_TYPE};
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use protocol::codec;
-use protocol::wire::{Leaving, Query, Reply};
+use protocol::wire::{Drain, Query, Reply};
 use serde::{Deserialize, Serialize};
 use state::fingerprint::Fingerprint;
 use state::id::{Name, Version};
@@ -30,7 +30,7 @@
 /// Configuration files that are read at once; the next ones wait.
 const FILES: usize = 2;
 /// Largest configuration file in bytes: what a record of the log can hold.
-const BODY_MAX: usize = codec::RECORD_MAX;
+const BODY_MAX: usize = codec::MAX_RECORD_BYTES;
 /// Time for one to arrive.
 const BODY_TIME: Duration = Duration::from_secs(10);
 /// Longest time for an answer of the control VMs.
@@ -171,7 +171,7 @@
     let peers = all.map(|hello| Peer {
         vm: hello.place.vm,
         incarnation: hello.incarnation,
-        operators: hello.operators,
+        operators: hello.operator_address,
     });
     peers.collect()
 }
@@ -222,8 +222,8 @@
 async fn depart(parts: &Parts, query: &BTreeMap<String, String>) -> Page {
     let name = |key: &str| query.get(key).map(|v| Name::try_from(v.as_str()));
     let leaving = match (name("endpoint"), name("endpoint-back"), name("vm")) {
-        (Some(Ok(name)), None, None) => Leaving::Endpoint(name),
-        (None, Some(Ok(name)), None) => Leaving::EndpointBack(name),
+        (Some(Ok(name)), None, None) => Drain::Endpoint(name),
+        (None, Some(Ok(name)), None) => Drain::EndpointBack(name),
         (None, None, Some(Ok(name))) => {
             let incarnation = query.get("incarnation").and_then(|v| v.parse().ok());
             let Some(incarnation) = incarnation else {
@@ -232,7 +232,7 @@
                     "give the VM's incarnation, as /peers shows it",
                 );
             };
-            Leaving::Vm(name, incarnation)
+            Drain::Vm(name, incarnation)
         }
         _ => {
             return error(
@@ -241,7 +241,7 @@
             )
         }
     };
-    accepted(parts, Query::Depart(leaving)).await
+    accepted(parts, Query::Drain(leaving)).await
 }
 
 /// Evacuates a data centre, or ends that.
@@ -272,7 +272,7 @@
         cleared: vec![clearance],
         ..Evidence::default()
     };
-    accepted(parts, Query::Suspects(evidence)).await
+    accepted(parts, Query::Evidence(evidence)).await
 }
 
 async fn accepted(parts: &Parts, query: Query) -> Page {
@@ -322,7 +322,7 @@
     match names {
         Ok(names) => {
             let silent = query.get("silent").is_some_and(|v| v == "yes");
-            parts.hub.cut(&names, silent);
+            parts.hub.partition(&names, silent);
             text(StatusCode::OK, "cut\n")
         }
         Err(reason) => error(StatusCode::BAD_REQUEST, &reason),
@@ -332,7 +332,7 @@
 fn suspend(parts: &Parts, query: &BTreeMap<String, String>) -> Page {
     match query.get("ms").and_then(|ms| ms.parse().ok()) {
         Some(ms) => {
-            parts.clock.suspend(ms);
+            parts.clock.simulate_suspension(ms);
             text(StatusCode::OK, "suspended\n")
         }
         None => error(StatusCode::BAD_REQUEST, "ms: a number of milliseconds"),
--- a/components/node/src/platform.rs
+++ b/components/node/src/platform.rs
@@ -5,7 +5,7 @@
 use crate::shared::{raised, Published};
 use coordination::platform::{Change, Entry, Watch};
 use errors::{Error, Result};
-use protocol::wire::{Leaving, Query};
+use protocol::wire::{Drain, Query};
 use settings::Platform;
 use state::line::Line;
 use state::view::View;
@@ -83,12 +83,12 @@
         version = view.version.0,
     );
     let leaving = if leaves {
-        Leaving::Endpoint(name)
+        Drain::Endpoint(name)
     } else {
-        Leaving::EndpointBack(name)
+        Drain::EndpointBack(name)
     };
     let (sender, receiver) = oneshot::channel();
-    let _ = reactor.send(Input::Query(Query::Depart(leaving), sender));
+    let _ = reactor.send(Input::Query(Query::Drain(leaving), sender));
     // Unanswered, it is said again with the next list that tells it.
     let _ = tokio::time::timeout(ACCEPTED, receiver).await;
 }
--- a/components/node/src/process.rs
+++ b/components/node/src/process.rs
@@ -2,7 +2,7 @@
 
 use crate::control::{self, Control};
 use crate::evacuation::Orders;
-use crate::front::{Front, Parts as FrontParts};
+use crate::frontend::{Context as FrontendContext, Frontend};
 use crate::input::Input;
 use crate::interface::Interface;
 use crate::journal::Journal;
@@ -31,8 +31,8 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::JoinHandle;
 use transport::clock::Clock;
-use transport::key::Keys;
 use transport::link::{Hub, Socket, Timing};
+use transport::tls::Credentials;
 
 /// Time between two looks at whether a stop may go on.
 const DRAIN_STEP: Duration = Duration::from_millis(50);
@@ -86,12 +86,12 @@
     /// When an address is taken, keys do not fit, or the disk is damaged.
     pub async fn start(settings: Settings, interface: Interface) -> Result<Self> {
         let keys = match &settings.link.keys {
-            Some(files) => Keys::read(&files.authority, &files.certificate, &files.key)?,
-            None => Keys::unauthenticated(&settings.vm.name)?,
+            Some(files) => Credentials::read(&files.authority, &files.certificate, &files.key)?,
+            None => Credentials::unauthenticated(&settings.vm.name)?,
         };
         let timing = Timing {
-            idle: Duration::from_millis(settings.link.idle_ms),
-            keep_alive: Duration::from_millis(settings.link.keep_alive_ms),
+            idle_timeout: Duration::from_millis(settings.link.idle_ms),
+            keep_alive_interval: Duration::from_millis(settings.link.keep_alive_ms),
         };
         let socket = Socket::bind(settings.link.listen, &keys, timing)?;
         Starter::new(settings, interface, socket)?.start().await
@@ -325,7 +325,7 @@
         let hello = Hello {
             place: self.place.clone(),
             incarnation: self.incarnation,
-            operators: operators_address,
+            operator_address: operators_address,
             data_centre: self.settings.vm.data_centre.clone(),
         };
         let (hub, events) = self.socket.start(hello, self.clock.clone());
@@ -453,14 +453,14 @@
             )));
         }
         if let (Some(callers), Some(listener)) = (&self.settings.callers, listener) {
-            let front = Front::new(FrontParts {
+            let frontend = Frontend::new(FrontendContext {
                 callers: callers.clone(),
-                queue_customer: self.settings.router.queue_customer,
+                customer_queue_limit: self.settings.router.queue_customer,
                 budget,
                 lateness,
-                stale_ms: self.settings.router.stale_ms,
+                max_proof_age_ms: self.settings.router.stale_ms,
                 interface: self.interface,
-                retries: retry::Bounds {
+                retry_bounds: retry::Bounds {
                     per_mille: self.settings.router.retries.per_mille,
                     extra: self.settings.router.retries.extra,
                     window_ms: self.settings.router.retries.window_ms,
@@ -474,7 +474,7 @@
                 published: published.clone(),
                 verdicts,
             });
-            tasks.push(tokio::spawn(front.run(listener, stopped)));
+            tasks.push(tokio::spawn(frontend.run(listener, stopped)));
         }
         let addresses = Addresses {
             link: self.place.address,
--- a/components/node/src/quarantine.rs
+++ b/components/node/src/quarantine.rs
@@ -163,7 +163,7 @@
         let (sender, receiver) = oneshot::channel();
         self.report = Some(receiver);
         let evidence = self.pending.take(REPORT_MAX);
-        queries.ask(now, hub, Query::Suspects(evidence), sender);
+        queries.ask(now, hub, Query::Evidence(evidence), sender);
     }
 
     /// Fingerprints of requests that are refused here.
--- a/components/node/src/reactor/listing.rs
+++ b/components/node/src/reactor/listing.rs
@@ -47,11 +47,11 @@
             Message::Listing(listing) => Some(self.roster.take(now, *listing)),
             Message::Census(census) => Some(self.roster.take_census(now, *census)),
             Message::ListingChange(change) => self.roster.follow(now, &change),
-            Message::ListingKept(id) => self.roster.confirm(now, id).then_some(false),
+            Message::ListingUnchanged(id) => self.roster.confirm(now, id).then_some(false),
             _ => return,
         };
         let Some(is_news) = news else {
-            self.parts.hub.send(vm, Message::ListingWanted);
+            self.parts.hub.send(vm, Message::ListingRequest);
             return;
         };
         self.listing_heard = Some(now);
@@ -68,7 +68,7 @@
         let is_other = |vm: &&Name| Some(*vm) != from && **vm != self.me;
         let whole = || match changed {
             true => Message::ListingChange(Box::new(self.roster.told_change(now))),
-            false => Message::ListingKept(self.roster.listing().id),
+            false => Message::ListingUnchanged(self.roster.listing().id),
         };
         if from.is_none() && self.parts.control {
             let news = whole();
@@ -78,7 +78,7 @@
         }
         let news = match self.roster.census() {
             None => whole(),
-            Some(census) if census.id == self.told_census => Message::ListingKept(census.id),
+            Some(census) if census.id == self.told_census => Message::ListingUnchanged(census.id),
             Some(census) => Message::Census(Box::new(census.clone())),
         };
         self.told_census = self.roster.census().map_or(0, |census| census.id);
--- a/components/node/src/reactor/mod.rs
+++ b/components/node/src/reactor/mod.rs
@@ -391,7 +391,7 @@
     fn message(&mut self, now: Millis, vm: Name, message: Message) {
         match message {
             Message::Hello(_) => {}
-            Message::Agree(_) | Message::Beat { .. } | Message::Query(..) => {
+            Message::Consensus(_) | Message::Heartbeat { .. } | Message::Query(..) => {
                 self.to_control(crate::control::Input::Message(vm, message));
             }
             Message::Reply(id, reply) => self.queries.reply(now, &self.parts.hub, id, reply),
@@ -409,21 +409,21 @@
                 }
             }
             Message::Unsubscribe => self.dissemination.unsubscribe(&vm),
-            Message::Elsewhere(place) => {
+            Message::Redirect(place) => {
                 self.dissemination
                     .elsewhere(now, &self.parts.hub, &vm, place);
             }
-            Message::Pulse(head) => {
+            Message::VersionProof(head) => {
                 self.dissemination.fed(now, &vm);
                 self.dissemination
                     .pulsed(now, &self.parts.hub, &vm, &self.view, head);
                 self.dirty = true;
             }
-            Message::Steps(steps) => {
+            Message::Updates(steps) => {
                 self.dissemination.fed(now, &vm);
                 self.steps(now, Some(&vm), &steps);
             }
-            Message::Whole(view) => {
+            Message::FullView(view) => {
                 self.dissemination.fed(now, &vm);
                 self.whole(now, *view);
             }
@@ -449,29 +449,33 @@
                     self.act(now, effects);
                 }
             }
-            Message::Kept(kept) => self.schedulers.hear_kept(&self.live, &vm, &kept),
+            Message::CachedPrompts(kept) => self.schedulers.hear_kept(&self.live, &vm, &kept),
             Message::Served(served) => self.schedulers.hear_served(&self.live, &served),
             Message::Unassigned(epoch) => self.dispatcher.unassigned(now, epoch),
             Message::Listing(_)
             | Message::ListingChange(_)
-            | Message::ListingKept(_)
+            | Message::ListingUnchanged(_)
             | Message::Census(_) => self.take_listing(now, &vm, message),
-            Message::ListingWanted => self.send_listing(now, &vm),
-            Message::CellWanted(shard, known) => self.tell_cell(now, &vm, shard, known),
+            Message::ListingRequest => self.send_listing(now, &vm),
+            Message::CellRequest(shard, known) => self.tell_cell(now, &vm, shard, known),
             Message::Cell(shard, answer) => {
                 if self.cells.take(now, &shard, *answer) {
                     self.follow_live(now);
                 }
             }
-            Message::Introductions(all) => {
+            Message::EndpointDetails(all) => {
                 for (id, endpoint) in all {
                     self.recent.note(now, id, endpoint);
                 }
             }
-            Message::Subtree(routers) => self.dissemination.take_subtree(&vm, routers),
-            Message::Size(routers) => self.dissemination.take_size(&self.parts.hub, routers),
-            Message::Check(sent) => self.check(now, &vm, sent),
-            Message::Checked { sent, age_ms, head } => {
+            Message::SubtreeSize(routers) => self.dissemination.take_subtree(&vm, routers),
+            Message::FleetSize(routers) => self.dissemination.take_size(&self.parts.hub, routers),
+            Message::ProofRequest(sent) => self.check(now, &vm, sent),
+            Message::ProofAge {
+                sent,
+                age_ms,
+                version: head,
+            } => {
                 let at = Millis(sent.saturating_sub(age_ms));
                 self.dissemination.checked(&vm, at, head, self.view.version);
                 self.dirty = true;
--- a/components/node/src/reactor/peers.rs
+++ b/components/node/src/reactor/peers.rs
@@ -38,7 +38,7 @@
     pub(super) fn close_links(&mut self) {
         let hub = &self.parts.hub;
         let member = self.parts.control || self.is_candidate;
-        for vm in hub.dialed() {
+        for vm in hub.dialed_peers() {
             let seed = member && self.control_places().iter().any(|s| s.vm == vm);
             let needed = seed
                 || self.dissemination.needs(&vm)
@@ -80,7 +80,7 @@
             return;
         }
         self.beat_at = now.after(BEAT_MS);
-        let beat = Message::Beat {
+        let beat = Message::Heartbeat {
             region: self.parts.home.region.clone(),
             data_centre: self.parts.home.data_centre.clone(),
             incarnation: self.parts.hub.hello().incarnation,
@@ -131,7 +131,7 @@
             let Some(vm) = self.control_vm(question.turn) else {
                 continue;
             };
-            let wanted = Message::CellWanted(question.shard, question.known);
+            let wanted = Message::CellRequest(question.shard, question.known);
             self.parts.hub.send(&vm, wanted);
         }
     }
@@ -178,10 +178,10 @@
         let Some(proof) = self.dissemination.proof() else {
             return;
         };
-        let checked = Message::Checked {
+        let checked = Message::ProofAge {
             sent,
             age_ms: now.since(proof),
-            head: self.view.version,
+            version: self.view.version,
         };
         self.parts.hub.send(vm, checked);
     }
@@ -193,7 +193,7 @@
         }
         if let Some((at, answer)) = &mut self.proving {
             match answer.try_recv() {
-                Ok(Reply::Head(head)) => {
+                Ok(Reply::CurrentVersion(head)) => {
                     let at = *at;
                     self.dissemination.prove(at, head, self.view.version);
                     self.proving = None;
@@ -206,7 +206,8 @@
         if self.dissemination.wants_proof(now) && self.proving.is_none() {
             let (sender, receiver) = oneshot::channel();
             self.proving = Some((now, receiver));
-            self.queries.ask(now, &self.parts.hub, Query::Head, sender);
+            self.queries
+                .ask(now, &self.parts.hub, Query::CurrentVersion, sender);
         }
     }
 
@@ -229,11 +230,12 @@
         if self.needed.is_none() && self.asks_leader(now) {
             let (at, head) = self.head.get_or_insert_with(|| {
                 let (sender, receiver) = oneshot::channel();
-                self.queries.ask(now, &self.parts.hub, Query::Head, sender);
+                self.queries
+                    .ask(now, &self.parts.hub, Query::CurrentVersion, sender);
                 (now, receiver)
             });
             match head.try_recv() {
-                Ok(Reply::Head(version)) => {
+                Ok(Reply::CurrentVersion(version)) => {
                     // It proves as much as an answer to a check. Without it, a router
                     // whose feed has just begun would refuse callers until the next
                     // check, for up to half a second after each loss of everything.
@@ -276,7 +278,9 @@
     /// Tells other schedulers of the region what engines of those here keep.
     pub(super) fn tell_kept(&mut self) {
         for (to, kept) in self.schedulers.kept(&self.live) {
-            self.parts.hub.send(&to.place.vm, Message::Kept(kept));
+            self.parts
+                .hub
+                .send(&to.place.vm, Message::CachedPrompts(kept));
         }
     }
 
--- a/components/node/src/reactor/show.rs
+++ b/components/node/src/reactor/show.rs
@@ -62,12 +62,12 @@
             self.dispatcher.shards().filter(|(_, up)| !up).count(),
         ));
         self.schedulers.measure(&self.live);
-        let (datagrams, udp) = self.parts.hub.udp();
+        let (datagrams, udp) = self.parts.hub.udp_traffic();
         let set = |what, number| m.link.with_label_values(&[what]).set(value(number));
         set("datagrams", datagrams);
         set("datagram_bytes", udp);
         set("links", self.parts.hub.peers().len() as u64);
-        for (kind, (frames, bytes)) in self.parts.hub.counts().kinds() {
+        for (kind, (frames, bytes)) in self.parts.hub.counts().frames_by_kind() {
             m.frames
                 .with_label_values(&[kind, "frames"])
                 .set(value(frames));
--- a/components/node/src/releases.rs
+++ b/components/node/src/releases.rs
@@ -149,7 +149,7 @@
             return text(StatusCode::BAD_REQUEST, &reason);
         }
     };
-    if !codec::fits(&release) {
+    if !codec::fits_record(&release) {
         return too_large();
     }
     let number = release.number;
@@ -173,10 +173,10 @@
 /// Bytes that a body may bring, if it can be taken: as many as it announces, or the most.
 fn announced(body: &Incoming) -> Option<usize> {
     let Some(length) = body.size_hint().exact() else {
-        return Some(codec::RECORD_MAX);
+        return Some(codec::MAX_RECORD_BYTES);
     };
     let length = usize::try_from(length).ok()?;
-    (length <= codec::RECORD_MAX).then_some(length)
+    (length <= codec::MAX_RECORD_BYTES).then_some(length)
 }
 
 /// Waits a moment for room for a body.
@@ -220,8 +220,8 @@
 
 async fn read(parts: &Parts) -> Response<Full<Bytes>> {
     let reading = async {
-        let head = match ask(parts, Query::Head, READ).await {
-            Some(Reply::Head(head)) => head,
+        let head = match ask(parts, Query::CurrentVersion, READ).await {
+            Some(Reply::CurrentVersion(head)) => head,
             _ => return None,
         };
         loop {
@@ -257,7 +257,7 @@
 }
 
 fn too_large() -> Response<Full<Bytes>> {
-    let most = codec::RECORD_MAX;
+    let most = codec::MAX_RECORD_BYTES;
     let reason = format!("a configuration has at most {most} bytes");
     text(StatusCode::PAYLOAD_TOO_LARGE, &reason)
 }
--- a/components/protocol/src/codec.rs
+++ b/components/protocol/src/codec.rs
@@ -8,45 +8,45 @@
 use serde::Serialize;
 
 /// Version of the protocol; another one is refused.
-pub const VERSION: u8 = 1;
+pub const PROTOCOL_VERSION: u8 = 1;
 /// Bytes before the body: the version and the length.
-pub const HEAD: usize = 5;
+pub const HEADER_BYTES: usize = 5;
 /// Longest body in bytes. A whole view of the design size is a tenth of it.
-pub const BODY_MAX: usize = 4 * 1024 * 1024;
+pub const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
 /// Bytes of a record of the log that no operator chose the size of, at most: a stored
 /// answer, 16 KiB of body, is the largest.
 const SMALL_MAX: usize = 20 * 1024;
 /// Largest record of the log in bytes, so that a message carries one with as many small
 /// ones as go into a batch.
-pub const RECORD_MAX: usize = BODY_MAX - BATCH * SMALL_MAX;
+pub const MAX_RECORD_BYTES: usize = MAX_BODY_BYTES - BATCH * SMALL_MAX;
 
 /// Whether a value can be a record of the log, or the query that asks for one.
 ///
 /// One that is larger could not be sent to the other control VMs. A leader that wrote it
 /// to its log would accept nothing more.
-pub fn fits<T>(value: &T) -> bool
+pub fn fits_record<T>(value: &T) -> bool
 where
     T: Serialize,
 {
     let length = postcard::serialize_with_flavor(value, Size::default());
-    length.is_ok_and(|length| length <= RECORD_MAX)
+    length.is_ok_and(|length| length <= MAX_RECORD_BYTES)
 }
 
 /// Encodes a frame with its head.
 ///
 /// # Errors
 ///
-/// When the body is longer than [`BODY_MAX`].
-pub fn encode(frame: &Frame) -> Result<Vec<u8>> {
+/// When the body is longer than [`MAX_BODY_BYTES`].
+pub fn encode_frame(frame: &Frame) -> Result<Vec<u8>> {
     let body =
         postcard::to_stdvec(frame).map_err(Error::peer("encode a frame", "(this process)"))?;
     let length = u32::try_from(body.len())
         .ok()
-        .filter(|_| body.len() <= BODY_MAX)
+        .filter(|_| body.len() <= MAX_BODY_BYTES)
         .ok_or_else(|| too_long("(this process)", body.len()))?;
-    let mut bytes = Vec::with_capacity(HEAD + body.len());
-    bytes.push(VERSION);
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
+    bytes.push(PROTOCOL_VERSION);
     bytes.extend_from_slice(&length.to_be_bytes());
     bytes.extend_from_slice(&body);
     Ok(bytes)
@@ -57,18 +57,20 @@
 /// # Errors
 ///
 /// When the version is another or the body too long.
-pub fn body_length(peer: &str, head: [u8; HEAD]) -> Result<usize> {
+pub fn body_length(peer: &str, head: [u8; HEADER_BYTES]) -> Result<usize> {
     let [version, a, b, c, d] = head;
-    if version != VERSION {
+    if version != PROTOCOL_VERSION {
         return Err(Error::Peer {
             step: "read a frame",
             peer: peer.to_owned(),
-            reason: format!("it speaks version {version} of the protocol, we speak {VERSION}"),
+            reason: format!(
+                "it speaks version {version} of the protocol, we speak {PROTOCOL_VERSION}"
+            ),
         });
     }
     // CAST: `usize` is at least 32 bits on every supported target.
     let length = u32::from_be_bytes([a, b, c, d]) as usize;
-    if length > BODY_MAX {
+    if length > MAX_BODY_BYTES {
         return Err(too_long(peer, length));
     }
     Ok(length)
@@ -79,7 +81,7 @@
 /// # Errors
 ///
 /// When the bytes are no frame.
-pub fn decode(peer: &str, body: &[u8]) -> Result<Frame> {
+pub fn decode_frame(peer: &str, body: &[u8]) -> Result<Frame> {
     postcard::from_bytes(body).map_err(Error::peer("decode a frame", peer))
 }
 
@@ -88,7 +90,7 @@
 /// # Errors
 ///
 /// When it cannot be encoded.
-pub fn pack<T>(value: &T) -> Result<Vec<u8>>
+pub fn encode_value<T>(value: &T) -> Result<Vec<u8>>
 where
     T: Serialize,
 {
@@ -100,7 +102,7 @@
 /// # Errors
 ///
 /// When the bytes are something else.
-pub fn unpack<T>(bytes: &[u8]) -> Result<T>
+pub fn decode_value<T>(bytes: &[u8]) -> Result<T>
 where
     T: DeserializeOwned,
 {
@@ -111,6 +113,6 @@
     Error::Peer {
         step: "check a frame's length",
         peer: peer.to_owned(),
-        reason: format!("{length} bytes, {BODY_MAX} are allowed"),
+        reason: format!("{length} bytes, {MAX_BODY_BYTES} are allowed"),
     }
 }
--- a/components/protocol/src/wire.rs
+++ b/components/protocol/src/wire.rs
@@ -26,7 +26,8 @@
     /// Its incarnation: a new number for each start of the process.
     pub incarnation: u64,
     /// Where its operators' address listens.
-    pub operators: SocketAddr,
+    #[serde(rename = "operators")]
+    pub operator_address: SocketAddr,
     /// Its data centre.
     pub data_centre: Name,
 }
@@ -36,7 +37,8 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Query {
     /// Which version is in force?
-    Head,
+    #[serde(rename = "head")]
+    CurrentVersion,
     /// Claim an idempotency key.
     Claim {
         /// Hash of customer and key.
@@ -60,9 +62,11 @@
     /// An operator's complete configuration.
     Release(Box<Release>),
     /// An operator's planned stop, or its end.
-    Depart(Leaving),
+    #[serde(rename = "depart")]
+    Drain(Drain),
     /// Report what was seen of requests that may crash endpoints.
-    Suspects(Evidence),
+    #[serde(rename = "suspects")]
+    Evidence(Evidence),
     /// Report what became of a claimed request.
     Settle {
         /// Hash of customer and key.
@@ -79,7 +83,7 @@
 /// Who leaves, by name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Leaving {
+pub enum Drain {
     /// An endpoint gets no new work.
     Endpoint(Name),
     /// An endpoint is back.
@@ -93,7 +97,8 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
     /// The version in force.
-    Head(Version),
+    #[serde(rename = "head")]
+    CurrentVersion(Version),
     /// The answer of the state machine.
     Answer(Answer),
     /// This VM does not lead; perhaps that one does.
@@ -109,9 +114,11 @@
     /// First on each link.
     Hello(Hello),
     /// Between control VMs.
-    Agree(Envelope),
+    #[serde(rename = "agree")]
+    Consensus(Envelope),
     /// A process that can schedule lives.
-    Beat {
+    #[serde(rename = "beat")]
+    Heartbeat {
         /// Its region.
         region: Name,
         /// Its data centre.
@@ -128,13 +135,17 @@
     /// Dissemination: another node feeds me, forget me.
     Unsubscribe,
     /// Ask this node instead.
-    Elsewhere(Place),
+    #[serde(rename = "elsewhere")]
+    Redirect(Place),
     /// The version in force, as a root of the tree has just seen it confirmed.
-    Pulse(Version),
+    #[serde(rename = "pulse")]
+    VersionProof(Version),
     /// The next versions.
-    Steps(SmallVec<[Step; 1]>),
+    #[serde(rename = "steps")]
+    Updates(SmallVec<[Step; 1]>),
     /// The whole view, for one that missed steps.
-    Whole(Box<View>),
+    #[serde(rename = "whole")]
+    FullView(Box<View>),
     /// What a subtree has in force.
     Confirm(Confirm),
     /// What a subtree has seen of requests that may crash endpoints.
@@ -150,40 +161,50 @@
     Served(Served),
     /// From a scheduler to those of the same service in its region: parts of prompts that its
     /// engines have read.
-    Kept(Vec<Kept>),
+    #[serde(rename = "kept")]
+    CachedPrompts(Vec<Kept>),
     /// This VM does not schedule in that epoch, or not yet.
     Unassigned(Epoch),
     /// The platform's endpoints, as they are since the last reading.
     Listing(Box<Listing>),
     /// The platform's endpoints are still those of the listing with this number.
-    ListingKept(u64),
+    #[serde(rename = "listing-kept")]
+    ListingUnchanged(u64),
     /// Send the listing: its number is not known here.
-    ListingWanted,
+    #[serde(rename = "listing-wanted")]
+    ListingRequest,
     /// How many endpoints there are, in place of a list that is too long for all processes.
     Census(Box<Census>),
     /// From a scheduler to a control VM: which endpoints has this shard? The number is that
     /// of the listing that it has.
-    CellWanted(Shard, u64),
+    #[serde(rename = "cell-wanted")]
+    CellRequest(Shard, u64),
     /// From a control VM to a scheduler: the endpoints of its shard, as it asked.
     Cell(Shard, Box<cell::Answer>),
     /// From a scheduler to a router: endpoints that grants behind this name.
-    Introductions(Vec<(EndpointId, Endpoint)>),
+    #[serde(rename = "introductions")]
+    EndpointDetails(Vec<(EndpointId, Endpoint)>),
     /// Between control VMs: routers that the sender feeds, directly or not.
-    Subtree(u32),
+    #[serde(rename = "subtree")]
+    SubtreeSize(u32),
     /// Routers of the fleet, as a root of the tree counts them.
-    Size(u32),
+    #[serde(rename = "size")]
+    FleetSize(u32),
     /// How old is your proof of the newest version? With the sender's own time.
-    Check(u64),
+    #[serde(rename = "check")]
+    ProofRequest(u64),
     /// What has changed since the platform's endpoints were last told.
     ListingChange(Box<Change>),
     /// The answer to a check.
-    Checked {
+    #[serde(rename = "checked")]
+    ProofAge {
         /// Time that the check bore.
         sent: u64,
         /// Age of the proof when the check was answered, in milliseconds.
         age_ms: u64,
         /// The newest version that it proves.
-        head: Version,
+        #[serde(rename = "head")]
+        version: Version,
     },
 }
 
@@ -192,36 +213,36 @@
     pub fn kind(&self) -> &'static str {
         match self {
             Message::Hello(_) => "hello",
-            Message::Agree(_) => "agree",
-            Message::Beat { .. } => "beat",
+            Message::Consensus(_) => "agree",
+            Message::Heartbeat { .. } => "beat",
             Message::Query(..) => "query",
             Message::Reply(..) => "reply",
             Message::Subscribe(_) => "subscribe",
             Message::Unsubscribe => "unsubscribe",
-            Message::Elsewhere(_) => "elsewhere",
-            Message::Pulse(_) => "pulse",
-            Message::Steps(_) => "steps",
-            Message::Whole(_) => "whole",
+            Message::Redirect(_) => "elsewhere",
+            Message::VersionProof(_) => "pulse",
+            Message::Updates(_) => "steps",
+            Message::FullView(_) => "whole",
             Message::Confirm(_) => "confirm",
             Message::Evidence(_) => "evidence",
             Message::Reports(..) => "reports",
             Message::Grants(_) => "grants",
             Message::Refusals(_) => "refusals",
             Message::Served(..) => "served",
-            Message::Kept(_) => "kept",
+            Message::CachedPrompts(_) => "kept",
             Message::Unassigned(_) => "unassigned",
             Message::Listing(_) => "listing",
             Message::ListingChange(_) => "listing-change",
-            Message::ListingKept(_) => "listing-kept",
-            Message::ListingWanted => "listing-wanted",
+            Message::ListingUnchanged(_) => "listing-kept",
+            Message::ListingRequest => "listing-wanted",
             Message::Census(_) => "census",
-            Message::CellWanted(..) => "cell-wanted",
+            Message::CellRequest(..) => "cell-wanted",
             Message::Cell(..) => "cell",
-            Message::Introductions(_) => "introductions",
-            Message::Subtree(_) => "subtree",
-            Message::Size(_) => "size",
-            Message::Check(_) => "check",
-            Message::Checked { .. } => "checked",
+            Message::EndpointDetails(_) => "introductions",
+            Message::SubtreeSize(_) => "subtree",
+            Message::FleetSize(_) => "size",
+            Message::ProofRequest(_) => "check",
+            Message::ProofAge { .. } => "checked",
         }
     }
 }
--- a/components/protocol/tests/codec.rs
+++ b/components/protocol/tests/codec.rs
@@ -1,6 +1,9 @@
 //! Encoding of frames.
 
-use protocol::codec::{body_length, decode, encode, pack, unpack, BODY_MAX, HEAD, VERSION};
+use protocol::codec::{
+    body_length, decode_frame, decode_value, encode_frame, encode_value, HEADER_BYTES,
+    MAX_BODY_BYTES, PROTOCOL_VERSION,
+};
 use protocol::wire::{Frame, Message};
 use state::clock::Stamp;
 use state::evacuation::Order;
@@ -11,41 +14,47 @@
 fn frame() -> Frame {
     Frame {
         stamp: Stamp { wall: 5, count: 2 },
-        message: Message::Pulse(Version(300)),
+        message: Message::VersionProof(Version(300)),
     }
 }
 
 #[test]
 fn can_decode_what_was_encoded() {
-    let bytes = encode(&frame()).unwrap();
-    let head = <[u8; HEAD]>::try_from(&bytes[..HEAD]).unwrap();
-    assert_eq!(body_length("peer", head).unwrap(), bytes.len() - HEAD);
-    assert_eq!(decode("peer", &bytes[HEAD..]).unwrap(), frame());
+    let bytes = encode_frame(&frame()).unwrap();
+    let head = <[u8; HEADER_BYTES]>::try_from(&bytes[..HEADER_BYTES]).unwrap();
+    assert_eq!(
+        body_length("peer", head).unwrap(),
+        bytes.len() - HEADER_BYTES
+    );
+    assert_eq!(
+        decode_frame("peer", &bytes[HEADER_BYTES..]).unwrap(),
+        frame()
+    );
 }
 
 #[test]
 fn errors_when_the_version_or_the_length_is_wrong() {
-    let error = body_length("r1", [VERSION + 1, 0, 0, 0, 1])
+    let error = body_length("r1", [PROTOCOL_VERSION + 1, 0, 0, 0, 1])
         .unwrap_err()
         .to_string();
     assert!(error.contains("r1") && error.contains("version"), "{error}");
-    let long = u32::try_from(BODY_MAX + 1).unwrap().to_be_bytes();
+    let long = u32::try_from(MAX_BODY_BYTES + 1).unwrap().to_be_bytes();
     let [a, b, c, d] = long;
-    assert!(body_length("r1", [VERSION, a, b, c, d]).is_err());
+    assert!(body_length("r1", [PROTOCOL_VERSION, a, b, c, d]).is_err());
 }
 
 #[test]
 fn can_refuse_cut_and_flipped_bytes_without_a_panic() {
-    let bytes = encode(&frame()).unwrap();
-    for cut in HEAD..bytes.len() {
-        assert!(decode("peer", &bytes[HEAD..cut]).is_err());
+    let bytes = encode_frame(&frame()).unwrap();
+    for cut in HEADER_BYTES..bytes.len() {
+        assert!(decode_frame("peer", &bytes[HEADER_BYTES..cut]).is_err());
     }
-    for at in HEAD..bytes.len() {
+    for at in HEADER_BYTES..bytes.len() {
         for bit in 0..8 {
             let mut changed = bytes.clone();
             changed[at] ^= 1 << bit;
             // It may decode to another frame; QUIC's own checks keep it out.
-            let _ = decode("peer", &changed[HEAD..]);
+            let _ = decode_frame("peer", &changed[HEADER_BYTES..]);
         }
     }
 }
@@ -61,7 +70,7 @@
     };
     let at = Stamp::default();
     store.apply(&Record::Evacuation { at, order });
-    let read: Store = unpack(&pack(&store).unwrap()).unwrap();
+    let read: Store = decode_value(&encode_value(&store).unwrap()).unwrap();
     assert_eq!(read, store);
     assert!(read.view.evacuated().next().is_some());
 }
--- a/components/transport/src/clock.rs
+++ b/components/transport/src/clock.rs
@@ -38,7 +38,7 @@
     }
 
     /// For tests of failures: moves the clock on as a suspension of the VM does.
-    pub fn suspend(&self, ms: u64) {
+    pub fn simulate_suspension(&self, ms: u64) {
         self.moved.fetch_add(ms, Ordering::Relaxed);
     }
 
--- a/components/transport/src/disk.rs
+++ b/components/transport/src/disk.rs
@@ -101,7 +101,7 @@
     /// # Errors
     ///
     /// When the disk refuses.
-    pub fn begins(&self, told: bool) -> Result<bool> {
+    pub fn may_bootstrap(&self, told: bool) -> Result<bool> {
         let file = self.path.join(FIRST);
         if told && !file.exists() {
             write_whole(&self.path, FIRST, b"")?;
@@ -110,12 +110,12 @@
     }
 
     /// Syncs so far.
-    pub fn syncs(&self) -> u64 {
+    pub fn sync_count(&self) -> u64 {
         self.syncs
     }
 
     /// Bytes in the log.
-    pub fn length(&self) -> u64 {
+    pub fn log_bytes(&self) -> u64 {
         self.length
     }
 
@@ -132,7 +132,7 @@
     /// longer know what is safe.
     pub fn write(&mut self, ready: &Ready, hard: Hard) -> Result<()> {
         if let Some(snapshot) = &ready.install {
-            self.renew(snapshot, ready.hard.unwrap_or(hard), &ready.append)?;
+            self.start_generation(snapshot, ready.hard.unwrap_or(hard), &ready.append)?;
             return Ok(());
         }
         let mut items = Vec::new();
@@ -160,7 +160,7 @@
     ///
     /// A large snapshot is not written again for less of a log than itself: at most as
     /// much is written for snapshots as for the log.
-    pub fn wants_snapshot(&self) -> bool {
+    pub fn needs_snapshot(&self) -> bool {
         self.length >= self.compact_bytes.max(self.snapshot)
     }
 
@@ -169,7 +169,12 @@
     /// # Errors
     ///
     /// When files cannot be written.
-    pub fn renew(&mut self, snapshot: &Snapshot, hard: Hard, tail: &[Entry]) -> Result<()> {
+    pub fn start_generation(
+        &mut self,
+        snapshot: &Snapshot,
+        hard: Hard,
+        tail: &[Entry],
+    ) -> Result<()> {
         let next = self.generation + 1;
         self.length = write_generation(&self.path, next, snapshot, hard, tail)?;
         // CAST: `usize` is at most 64 bits on every supported target.
--- a/components/transport/src/lib.rs
+++ b/components/transport/src/lib.rs
@@ -4,6 +4,6 @@
 pub mod descriptor;
 pub mod disk;
 pub mod frame;
-pub mod key;
 pub mod link;
+pub mod tls;
 pub mod wal;
--- a/components/transport/src/link.rs
+++ b/components/transport/src/link.rs
@@ -4,7 +4,7 @@
 //! in order, or the link is reported down. A later link is a new one.
 
 use crate::clock::Clock;
-use crate::key::{self, Keys};
+use crate::tls::{self, Credentials};
 use bytes::Bytes;
 use errors::{Error, Result};
 use protocol::codec;
@@ -29,7 +29,7 @@
 ///
 /// Whole views and configurations are megabytes: thousands of them for one slow peer are
 /// more than a VM has. Two of the largest messages fit.
-const BACKLOG_BYTES: usize = 2 * (codec::HEAD + codec::BODY_MAX);
+const BACKLOG_BYTES: usize = 2 * (codec::HEADER_BYTES + codec::MAX_BODY_BYTES);
 /// Time between two tries to open a link.
 const REDIAL: Duration = Duration::from_millis(150);
 /// Longest time to open a link.
@@ -50,16 +50,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// Silence after which a link is down.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Time between signs of life on a quiet link.
-    pub keep_alive: Duration,
+    pub keep_alive_interval: Duration,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Timing {
-            idle: Duration::from_millis(1500),
-            keep_alive: Duration::from_millis(400),
+            idle_timeout: Duration::from_millis(1500),
+            keep_alive_interval: Duration::from_millis(400),
         }
     }
 }
@@ -75,7 +75,7 @@
 
 impl Counts {
     /// Frames sent and their bytes, without headers of lower layers, by kind.
-    pub fn kinds(&self) -> BTreeMap<&'static str, (u64, u64)> {
+    pub fn frames_by_kind(&self) -> BTreeMap<&'static str, (u64, u64)> {
         self.kinds
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -155,9 +155,9 @@
     /// # Errors
     ///
     /// When the keys do not fit or the address is taken.
-    pub fn bind(address: SocketAddr, keys: &Keys, timing: Timing) -> Result<Self> {
+    pub fn bind(address: SocketAddr, keys: &Credentials, timing: Timing) -> Result<Self> {
         let step = "prepare links";
-        let idle = quinn::IdleTimeout::try_from(timing.idle).map_err(Error::key(step))?;
+        let idle = quinn::IdleTimeout::try_from(timing.idle_timeout).map_err(Error::key(step))?;
         let transport = |keep_alive| {
             let mut transport = quinn::TransportConfig::default();
             transport.keep_alive_interval(keep_alive);
@@ -175,7 +175,7 @@
         server.transport_config(transport(None));
         let client = QuicClientConfig::try_from(keys.client()?).map_err(Error::key(step))?;
         let mut client = quinn::ClientConfig::new(Arc::new(client));
-        client.transport_config(transport(Some(timing.keep_alive)));
+        client.transport_config(transport(Some(timing.keep_alive_interval)));
         let endpoint = quinn::Endpoint::server(server, address).map_err(Error::file(
             "bind the address of the links",
             address.to_string(),
@@ -183,7 +183,7 @@
         Ok(Socket {
             endpoint,
             client,
-            checked: keys.are_checked(),
+            checked: keys.verifies_peers(),
         })
     }
 
@@ -261,7 +261,7 @@
     }
 
     /// UDP datagrams and bytes sent and received on all links.
-    pub fn udp(&self) -> (u64, u64) {
+    pub fn udp_traffic(&self) -> (u64, u64) {
         let ended = self.inner.counts.ended.lock();
         let mut total = *ended.unwrap_or_else(PoisonError::into_inner);
         for link in self.inner.table().links.values() {
@@ -294,7 +294,7 @@
     }
 
     /// Peers to which links are kept open.
-    pub fn dialed(&self) -> Vec<Name> {
+    pub fn dialed_peers(&self) -> Vec<Name> {
         self.inner.table().dials.keys().cloned().collect()
     }
 
@@ -332,7 +332,7 @@
             stamp: self.inner.clock.stamp(),
             message,
         };
-        let bytes = match codec::encode(&frame) {
+        let bytes = match codec::encode_frame(&frame) {
             Ok(bytes) => Bytes::from(bytes),
             Err(error) => {
                 tracing::error!(event = Line::MessageLost.as_str(), peer = %vm, kind, %error);
@@ -357,7 +357,7 @@
 
     /// For tests of failures: cuts off exactly these peers. With `silent`,
     /// links stay up and messages vanish; else links are closed and refused.
-    pub fn cut(&self, peers: &[Name], silent: bool) {
+    pub fn partition(&self, peers: &[Name], silent: bool) {
         let mut table = self.inner.table();
         let all: HashSet<Name> = peers.iter().cloned().collect();
         if silent {
@@ -434,7 +434,7 @@
             .connect_with(
                 self.inner.client.clone(),
                 place.address,
-                &key::host(&place.vm),
+                &tls::server_name(&place.vm),
             )
             .map_err(Error::peer(step, &place.vm))?;
         let connection = connecting.await.map_err(Error::peer(step, &place.vm))?;
@@ -453,7 +453,7 @@
             stamp: self.inner.clock.stamp(),
             message: Message::Hello(self.inner.hello.clone()),
         };
-        let bytes = codec::encode(&hello)?;
+        let bytes = codec::encode_frame(&hello)?;
         out.write_all(&bytes)
             .await
             .map_err(Error::peer(step, far))?;
@@ -584,7 +584,7 @@
     let chain = connection.peer_identity();
     let chain = chain.and_then(|c| c.downcast::<Vec<CertificateDer<'static>>>().ok());
     let first = chain.as_ref().and_then(|c| c.first());
-    first.is_some_and(|c| key::is_of(c, vm))
+    first.is_some_and(|c| tls::is_issued_to(c, vm))
 }
 
 fn refusal<P>(peer: P, reason: &str) -> Error
@@ -620,7 +620,7 @@
 
 async fn read_frame(input: &mut quinn::RecvStream, peer: &str) -> Result<Frame> {
     let step = "read a frame";
-    let mut head = [0; codec::HEAD];
+    let mut head = [0; codec::HEADER_BYTES];
     input
         .read_exact(&mut head)
         .await
@@ -631,5 +631,5 @@
         .read_exact(&mut body)
         .await
         .map_err(Error::peer(step, peer))?;
-    codec::decode(peer, &body)
+    codec::decode_frame(peer, &body)
 }
--- a/components/transport/src/key.rs
+++ b/components/transport/src/tls.rs
@@ -20,7 +20,7 @@
 
 /// A certificate with its private key, as PEM text.
 #[derive(Clone, Debug)]
-pub struct Pair {
+pub struct Identity {
     /// Certificate.
     pub certificate: String,
     /// Private key.
@@ -32,13 +32,13 @@
 /// # Errors
 ///
 /// When the key cannot be made.
-pub fn authority() -> Result<Pair> {
+pub fn create_authority() -> Result<Identity> {
     let step = "make the fleet's authority";
     let key = KeyPair::generate().map_err(Error::key(step))?;
     let certificate = authority_params()
         .self_signed(&key)
         .map_err(Error::key(step))?;
-    Ok(Pair {
+    Ok(Identity {
         certificate: certificate.pem(),
         key: key.serialize_pem(),
     })
@@ -59,12 +59,12 @@
 /// # Errors
 ///
 /// When the authority's key is wrong.
-pub fn issue(authority: &Pair, vm: &Name) -> Result<Pair> {
+pub fn issue_certificate(authority: &Identity, vm: &Name) -> Result<Identity> {
     let step = "issue a certificate";
     let issuer_key = KeyPair::from_pem(&authority.key).map_err(Error::key(step))?;
     let issuer_params = authority_params();
     let issuer = Issuer::from_params(&issuer_params, issuer_key);
-    let mut params = CertificateParams::new(vec![host(vm)]).map_err(Error::key(step))?;
+    let mut params = CertificateParams::new(vec![server_name(vm)]).map_err(Error::key(step))?;
     params.distinguished_name = DistinguishedName::new();
     params
         .distinguished_name
@@ -75,20 +75,20 @@
     ];
     let key = KeyPair::generate().map_err(Error::key(step))?;
     let certificate = params.signed_by(&key, &issuer).map_err(Error::key(step))?;
-    Ok(Pair {
+    Ok(Identity {
         certificate: certificate.pem(),
         key: key.serialize_pem(),
     })
 }
 
 /// Name that a VM's certificate is for.
-pub fn host(vm: &Name) -> String {
+pub fn server_name(vm: &Name) -> String {
     format!("{vm}.vm.cowslipford.internal")
 }
 
 /// Whether a peer's certificate is the one of `vm`.
-pub fn is_of(certificate: &CertificateDer<'_>, vm: &Name) -> bool {
-    let Ok(name) = ServerName::try_from(host(vm)) else {
+pub fn is_issued_to(certificate: &CertificateDer<'_>, vm: &Name) -> bool {
+    let Ok(name) = ServerName::try_from(server_name(vm)) else {
         return false;
     };
     webpki::EndEntityCert::try_from(certificate)
@@ -97,7 +97,7 @@
 
 /// What a process needs to open and accept links.
 #[derive(Clone, Debug)]
-pub struct Keys {
+pub struct Credentials {
     /// Certificate of the authority that all peers need; without one, any peer
     /// is taken for what it says it is.
     authority: Option<CertificateDer<'static>>,
@@ -105,14 +105,14 @@
     key: Arc<PrivateKeyDer<'static>>,
 }
 
-impl Keys {
+impl Credentials {
     /// Reads the three files that the settings name.
     ///
     /// # Errors
     ///
     /// When one cannot be read or holds something else.
     pub fn read(authority: &Path, certificate: &Path, key: &Path) -> Result<Self> {
-        Ok(Keys {
+        Ok(Credentials {
             authority: Some(pem(authority)?),
             certificate: pem(certificate)?,
             key: Arc::new(
@@ -134,10 +134,10 @@
     pub fn unauthenticated(vm: &Name) -> Result<Self> {
         let step = "make a key for this start";
         let key = KeyPair::generate().map_err(Error::key(step))?;
-        let params = CertificateParams::new(vec![host(vm)]).map_err(Error::key(step))?;
+        let params = CertificateParams::new(vec![server_name(vm)]).map_err(Error::key(step))?;
         let certificate = params.self_signed(&key).map_err(Error::key(step))?;
         let private = PrivateKeyDer::try_from(key.serialize_der());
-        Ok(Keys {
+        Ok(Credentials {
             authority: None,
             certificate: certificate.der().clone(),
             key: Arc::new(private.map_err(Error::key(step))?),
@@ -145,7 +145,7 @@
     }
 
     /// Whether peers must show a certificate of the fleet's authority.
-    pub fn are_checked(&self) -> bool {
+    pub fn verifies_peers(&self) -> bool {
         self.authority.is_some()
     }
 
@@ -154,11 +154,11 @@
     /// # Errors
     ///
     /// When a text holds something else.
-    pub fn from_pem(authority: &str, pair: &Pair) -> Result<Self> {
+    pub fn from_pem(authority: &str, pair: &Identity) -> Result<Self> {
         let step = "read keys";
         let certificate =
             |text: &str| CertificateDer::from_pem_slice(text.as_bytes()).map_err(Error::key(step));
-        Ok(Keys {
+        Ok(Credentials {
             authority: Some(certificate(authority)?),
             certificate: certificate(&pair.certificate)?,
             key: Arc::new(
--- a/components/transport/tests/disk.rs
+++ b/components/transport/tests/disk.rs
@@ -73,7 +73,7 @@
         bytes: Arc::new(b"state".to_vec()),
         ..Snapshot::default()
     };
-    disk.renew(&snapshot, Hard::default(), &[entry(8), entry(9)])
+    disk.start_generation(&snapshot, Hard::default(), &[entry(8), entry(9)])
         .unwrap();
     disk.write(&append(10..=10), Hard::default()).unwrap();
     drop(disk);
@@ -93,7 +93,7 @@
     let folder = tempfile::tempdir().unwrap();
     let (mut disk, _) = open(folder.path());
     disk.write(&append(1..=2), Hard::default()).unwrap();
-    let whole = disk.length();
+    let whole = disk.log_bytes();
     disk.write(&append(3..=5), Hard::default()).unwrap();
     drop(disk);
     let file = log(folder.path());
@@ -211,7 +211,7 @@
         ..entry(index)
     };
     let mut changes = 0;
-    while !disk.wants_snapshot() {
+    while !disk.needs_snapshot() {
         changes += 1;
         let ready = Ready {
             append: vec![change(changes)],
@@ -233,17 +233,18 @@
         bytes: Arc::new(vec![1; 100_000]),
         ..Snapshot::default()
     };
-    disk.renew(&snapshot, Hard::default(), &[]).unwrap();
+    disk.start_generation(&snapshot, Hard::default(), &[])
+        .unwrap();
     let mut last = 1;
-    while disk.length() < 90_000 {
+    while disk.log_bytes() < 90_000 {
         disk.write(&append(last + 1..=last + 500), Hard::default())
             .unwrap();
         last += 500;
-        assert!(!disk.wants_snapshot(), "at {} bytes", disk.length());
+        assert!(!disk.needs_snapshot(), "at {} bytes", disk.log_bytes());
     }
     drop(disk);
     // It is known again after a start.
     let (mut disk, _) = open(folder.path());
     disk.set_compact_bytes(4096);
-    assert!(!disk.wants_snapshot());
+    assert!(!disk.needs_snapshot());
 }
--- a/src/cmd/keys.rs
+++ b/src/cmd/keys.rs
@@ -8,7 +8,7 @@
 use std::io::Write;
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::Path;
-use transport::key::{self, Pair};
+use transport::tls::{self, Identity};
 
 /// Makes what is missing.
 pub(crate) fn run(args: &Keys) -> Result<(), Failure> {
@@ -33,18 +33,18 @@
     let certificate = folder.join("authority.pem");
     let key = folder.join("authority.key");
     let authority = if certificate.exists() && key.exists() {
-        Pair {
+        Identity {
             certificate: read(&certificate)?,
             key: read(&key)?,
         }
     } else {
-        let made = key::authority()?;
+        let made = tls::create_authority()?;
         write(&certificate, &made.certificate, 0o644)?;
         write(&key, &made.key, 0o600)?;
         made
     };
     for vm in vms {
-        let pair = key::issue(&authority, vm)?;
+        let pair = tls::issue_certificate(&authority, vm)?;
         write(&folder.join(format!("{vm}.pem")), &pair.certificate, 0o644)?;
         write(&folder.join(format!("{vm}.key")), &pair.key, 0o600)?;
     }
