--- a/components/coordination/src/dispatcher/local.rs
+++ b/components/coordination/src/dispatcher/local.rs
@@ -6,7 +6,7 @@
 use state::view::Shard;
 
 /// Time without a scheduler after which the dispatcher grants itself, in milliseconds.
-pub const LOCAL_MS: u64 = 300;
+pub const LOCAL_AFTER_MS: u64 = 300;
 
 /// The epoch of a dispatcher that schedules for itself; assignments begin at 1.
 pub(super) const LOCAL: Epoch = Epoch(0);
@@ -23,7 +23,9 @@
             match effect {
                 LocalEffect::Grant(_, grant) => self.use_grant(now, shard, grant, effects),
                 LocalEffect::Refuse(_, refusal) => self.use_refusal(now, shard, refusal, effects),
-                LocalEffect::Ejected(_) | LocalEffect::Restored(_) | LocalEffect::Inquire(_) => {}
+                LocalEffect::Ejected(_)
+                | LocalEffect::Restored(_)
+                | LocalEffect::RequestInventory(_) => {}
             }
         }
     }
@@ -36,7 +38,7 @@
         effects: &mut Effects,
     ) {
         let held = self.renumber(shard);
-        let backoff = self.backoffs.told(now);
+        let backoff = self.backoffs.remaining(now);
         let Some(session) = self.sessions.get_mut(shard) else {
             return;
         };
@@ -48,7 +50,7 @@
         self.arm_local(now, view, shard);
         let session = self.sessions.get_mut(shard);
         if let Some((local, opened)) = session.and_then(|s| s.local.as_mut()) {
-            *opened = local.open(now, None, &hello);
+            *opened = local.open_session(now, None, &hello);
         }
         self.announce_all(now, shard, effects);
     }
--- a/components/node/src/batch.rs
+++ b/components/node/src/batch.rs
@@ -1,6 +1,6 @@
 //! Messages of one round of the reactor, joined by receiver.
 
-use coordination::ask::{Grant, Refusal, Report};
+use coordination::messages::{Grant, Refusal, Report};
 use protocol::wire::Message;
 use smallvec::SmallVec;
 use state::config::Endpoint;
@@ -67,7 +67,7 @@
             hub.send(&vm, Message::Reports(epoch, reports));
         }
         for (vm, all) in self.introductions.drain(..) {
-            hub.send(&vm, Message::Introductions(all));
+            hub.send(&vm, Message::EndpointDetails(all));
         }
         for (vm, grants) in self.grants.drain(..) {
             hub.send(&vm, Message::Grants(grants));
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -2,22 +2,22 @@
 
 use crate::input::Input as ReactorInput;
 use crate::journal::Journal;
-use crate::metric::{value, Metrics};
-use coordination::agree::{Admission, Core, Index, Ready, Refusal, Role, Snapshot, Term};
+use crate::metric::{gauge_value, Metrics};
 use coordination::assignment::{Assigner, Site};
+use coordination::consensus::{Admission, Core, Index, Ready, Refusal, Role, Snapshot, Term};
 use errors::{Error, Result};
 use protocol::codec;
-use protocol::wire::{Hello, Leaving, Message, Query, Reply};
+use protocol::wire::{Drain, Hello, Message, Query, Reply};
 use serde::{Deserialize, Serialize};
 use state::clock::Millis;
 use state::delta::Delta;
-use state::event::{Event, Step};
+use state::event::{Event, Kind};
 use state::id::{Name, Version};
 use state::line::Line;
-use state::record::{Disk, Member, Record};
+use state::record::{DiskId, Member, Record};
 use state::store::{Document, Store};
 use state::suspect::Evidence;
-use state::view::{Departure, Place, Shard};
+use state::view::{Departure, Node, Shard};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -51,7 +51,7 @@
     /// The shards that have endpoints.
     Shards(BTreeSet<Shard>),
     /// The settings name other control VMs.
-    Seeds(Vec<Place>),
+    Seeds(Vec<Node>),
     /// End.
     Stop,
 }
@@ -85,9 +85,9 @@
 /// What the control role is given.
 pub(crate) struct Parts {
     /// This VM.
-    pub(crate) place: Place,
+    pub(crate) place: Node,
     /// Control VMs.
-    pub(crate) seeds: Vec<Place>,
+    pub(crate) seeds: Vec<Node>,
     /// Who may become a member.
     pub(crate) admission: Admission,
     /// Data folder.
@@ -115,9 +115,9 @@
     assignments: Assigner,
     shards: BTreeSet<Shard>,
     /// Members as the reactor was last told.
-    members: Vec<Place>,
+    members: Vec<Node>,
     /// Places of peers with a link, as they introduced themselves.
-    places: HashMap<Name, Place>,
+    places: HashMap<Name, Node>,
     /// Who waits for the entry of a term at an index to be applied.
     waiters: BTreeMap<Index, (Term, Name, u64)>,
     /// Entries whose assignments are not applied yet.
@@ -136,18 +136,21 @@
     ///
     /// When the disk cannot be read or is damaged.
     pub(crate) fn open(parts: Parts) -> Result<Self> {
-        let (mut folder, start) = Folder::open(&parts.data, Disk(rand::random()))?;
+        let (mut folder, start) = Folder::open(&parts.data, DiskId(rand::random()))?;
         folder.set_compact_bytes(parts.compact_bytes);
         let store = restore(&start.snapshot)?;
         let me = Member {
             disk: folder.identity(),
-            place: parts.place.clone(),
+            node: parts.place.clone(),
         };
         let mut core = Core::new(me, parts.seeds.clone(), start, parts.clock.now());
-        core.admit_by(match parts.admission {
+        core.set_admission(match parts.admission {
             Admission::Seeds => Admission::Seeds,
-            Admission::Open { begins, voters } => Admission::Open {
-                begins: folder.begins(begins)?,
+            Admission::Open {
+                may_bootstrap: begins,
+                voters,
+            } => Admission::Open {
+                may_bootstrap: folder.may_bootstrap(begins)?,
                 voters,
             },
         });
@@ -210,7 +213,7 @@
             }
             Input::Down(vm) => {
                 self.places.remove(&vm);
-                self.assignments.lost(&vm);
+                self.assignments.remove(&vm);
             }
             Input::Message(vm, message) => self.message(now, &vm, message),
             // Whoever asked may have gone.
@@ -235,20 +238,20 @@
             return;
         };
         match message {
-            Message::Agree(envelope) if self.is_control(vm) => {
+            Message::Consensus(envelope) if self.is_control(vm) => {
                 self.core.step(now, &place, envelope);
             }
-            Message::Beat {
+            Message::Heartbeat {
                 region,
                 data_centre,
                 incarnation,
             } => {
                 let site = Site {
-                    place,
+                    node: place,
                     region,
                     data_centre,
                 };
-                self.assignments.heard(now, site, incarnation);
+                self.assignments.record_heartbeat(now, site, incarnation);
             }
             Message::Query(id, query) => self.query(now, vm, id, query),
             _ => {}
@@ -271,8 +274,8 @@
             return;
         }
         let record = match query {
-            Query::Head => {
-                self.reply(vm, id, Reply::Head(self.store.view.version));
+            Query::CurrentVersion => {
+                self.reply(vm, id, Reply::CurrentVersion(self.store.view.version));
                 return;
             }
             other => self.record(other),
@@ -297,7 +300,7 @@
     /// The record that a query asks for, or why it is wrong.
     fn record(&self, query: Query) -> Result<Record, String> {
         match query {
-            Query::Head => Ok(Record::Blank),
+            Query::CurrentVersion => Ok(Record::NoOp),
             Query::Claim {
                 key,
                 customer,
@@ -326,11 +329,11 @@
                 Ok(Record::Change { id, base, delta })
             }
             Query::Release(release) => Ok(Record::Release(release)),
-            Query::Suspects(evidence) => Ok(Record::Suspects {
+            Query::Evidence(evidence) => Ok(Record::Suspects {
                 at: self.parts.clock.stamp(),
                 evidence,
             }),
-            Query::Depart(leaving) => self.departure(leaving).map(Record::Departure),
+            Query::Drain(leaving) => self.departure(leaving).map(Record::Departure),
             Query::Evacuation(order) => Ok(Record::Evacuation {
                 at: self.parts.clock.stamp(),
                 order,
@@ -338,15 +341,15 @@
         }
     }
 
-    fn departure(&self, leaving: Leaving) -> Result<Departure, String> {
+    fn departure(&self, leaving: Drain) -> Result<Departure, String> {
         let endpoint = |name: &Name| {
             let found = self.store.view.config.endpoint(name);
             found.ok_or_else(|| format!("no endpoint {name} is in force"))
         };
         match leaving {
-            Leaving::Endpoint(name) => endpoint(&name).map(Departure::Endpoint),
-            Leaving::EndpointBack(name) => endpoint(&name).map(Departure::EndpointBack),
-            Leaving::Vm(name, incarnation) => Ok(Departure::Vm(name, incarnation)),
+            Drain::Endpoint(name) => endpoint(&name).map(Departure::Endpoint),
+            Drain::EndpointBack(name) => endpoint(&name).map(Departure::EndpointBack),
+            Drain::Vm(name, incarnation) => Ok(Departure::Vm(name, incarnation)),
         }
     }
 
@@ -358,7 +361,7 @@
             self.to_reactor(ReactorInput::Leads(leads));
             self.note_role(leads);
             if leads {
-                self.assignments.begin(now);
+                self.assignments.reset(now);
             } else {
                 self.give_up_waiters();
             }
@@ -370,7 +373,7 @@
         for assignment in self.assignments.plan(now, &self.store.view, &self.shards) {
             tracing::info!(
                 event = Line::SchedulerAssigned.as_str(),
-                vm = %assignment.place.vm,
+                vm = %assignment.node.vm,
                 epoch = assignment.epoch.0,
                 service = self.store.view.config.service_name(assignment.shard.service),
                 region = %assignment.shard.region,
@@ -404,10 +407,10 @@
         let term = self.core.term().0;
         let step = if leads {
             tracing::info!(event = Line::LeaderBegan.as_str(), term);
-            Step::LeaderBegan
+            Kind::LeaderBegan
         } else {
             tracing::info!(event = Line::LeaderEnded.as_str(), term);
-            Step::LeaderEnded
+            Kind::LeaderEnded
         };
         self.parts
             .journal
@@ -430,14 +433,14 @@
                 break;
             }
             if ready.must_sync() {
-                let hard = self.core.hard();
+                let hard = self.core.ballot();
                 self.folder.write(&ready, hard)?;
                 let last = self.core.log().last();
                 self.core.synced(last);
             }
             self.carry_out(ready)?;
         }
-        if self.folder.wants_snapshot() {
+        if self.folder.needs_snapshot() {
             self.compact()?;
         }
         self.tell_fresh();
@@ -448,29 +451,29 @@
     /// Reaches all members, whom the settings need not name.
     fn tell_members(&mut self) {
         let members = self.core.members();
-        let same = members.all().map(|m| &m.place).eq(self.members.iter());
+        let same = members.all().map(|m| &m.node).eq(self.members.iter());
         if same {
             return;
         }
-        self.members = members.all().map(|m| m.place.clone()).collect();
+        self.members = members.all().map(|m| m.node.clone()).collect();
         tracing::info!(
             event = Line::MembersChanged.as_str(),
-            voters = ?members.voters.iter().map(|m| m.place.vm.as_str()).collect::<Vec<_>>(),
-            learners = ?members.learners.iter().map(|m| m.place.vm.as_str()).collect::<Vec<_>>(),
+            voters = ?members.voters.iter().map(|m| m.node.vm.as_str()).collect::<Vec<_>>(),
+            learners = ?members.learners.iter().map(|m| m.node.vm.as_str()).collect::<Vec<_>>(),
         );
         self.to_reactor(ReactorInput::Members(self.members.clone()));
     }
 
     fn carry_out(&mut self, ready: Ready) -> Result<()> {
         for (place, envelope) in ready.messages {
-            self.parts.hub.send(&place.vm, Message::Agree(envelope));
+            self.parts.hub.send(&place.vm, Message::Consensus(envelope));
         }
         if let Some(snapshot) = ready.install {
             self.store = restore(&snapshot)?;
             self.restored();
         }
         let mut steps = Vec::new();
-        for entry in ready.accepted {
+        for entry in ready.committed {
             let (answer, step) = self.store.apply(&entry.record);
             steps.extend(step);
             if let Some((term, vm, id)) = self.waiters.remove(&entry.index) {
@@ -497,15 +500,16 @@
         let Some(term) = log.term(index) else {
             return Ok(());
         };
-        let bytes = codec::pack(&self.store)?;
+        let bytes = codec::encode_value(&self.store)?;
         let snapshot = Snapshot {
             index,
             term,
             members: log.members_at(index).clone(),
             bytes: Arc::new(bytes),
         };
-        let tail = log.from(index.next(), usize::MAX);
-        self.folder.renew(&snapshot, self.core.hard(), &tail)?;
+        let tail = log.entries_from(index.next(), usize::MAX);
+        self.folder
+            .start_generation(&snapshot, self.core.ballot(), &tail)?;
         self.core.compact(snapshot);
         Ok(())
     }
@@ -513,7 +517,7 @@
     /// Tells the reactor whether what it is fed from here is current.
     fn tell_fresh(&mut self) {
         let now = self.parts.clock.now();
-        let fresh = self.core.is_fresh(now);
+        let fresh = self.core.has_leader_contact(now);
         let due = fresh && now.since(self.fresh_at) >= FRESH_MS;
         if due || fresh != self.fresh {
             self.fresh = fresh;
@@ -540,18 +544,18 @@
     fn measure(&self) {
         let set = |what, number| {
             let gauge = self.parts.metrics.control.with_label_values(&[what]);
-            gauge.set(value(number));
+            gauge.set(gauge_value(number));
         };
         set("term", self.core.term().0);
         set("accepted", self.core.commit().0);
         set("leads", u64::from(self.core.role() == Role::Leader));
-        set("log_bytes", self.folder.length());
-        set("syncs", self.folder.syncs());
+        set("log_bytes", self.folder.log_bytes());
+        set("syncs", self.folder.sync_count());
         set("claims", self.store.claims.len() as u64);
     }
 
     fn status(&self) -> Status {
-        let names = |members: &[Member]| members.iter().map(|m| m.place.vm.clone()).collect();
+        let names = |members: &[Member]| members.iter().map(|m| m.node.vm.clone()).collect();
         let members = self.core.members();
         Status {
             role: format!("{:?}", self.core.role()).to_lowercase(),
@@ -561,8 +565,8 @@
             last: self.core.log().last().0,
             voters: names(&members.voters),
             learners: names(&members.learners),
-            log_bytes: self.folder.length(),
-            syncs: self.folder.syncs(),
+            log_bytes: self.folder.log_bytes(),
+            syncs: self.folder.sync_count(),
             claims: self.store.claims.len(),
         }
     }
@@ -570,8 +574,11 @@
 
 /// A record that can be sent to the other control VMs, or why it cannot.
 fn checked(record: Record) -> Result<Record, String> {
-    if record.is_large() && !codec::fits(&record) {
-        return Err(format!("it has more than {} bytes", codec::RECORD_MAX));
+    if record.is_large() && !codec::fits_record(&record) {
+        return Err(format!(
+            "it has more than {} bytes",
+            codec::MAX_RECORD_BYTES
+        ));
     }
     Ok(record)
 }
@@ -580,7 +587,7 @@
     if snapshot.bytes.is_empty() {
         return Ok(Store::default());
     }
-    codec::unpack(&snapshot.bytes).map_err(|_| Error::Corrupt {
+    codec::decode_value(&snapshot.bytes).map_err(|_| Error::Corrupt {
         step: "read the state",
         path: "(snapshot)".to_owned(),
         reason: "it was written by another version of this program".to_owned(),
--- a/components/node/src/evacuation.rs
+++ b/components/node/src/evacuation.rs
@@ -60,7 +60,7 @@
 
     /// Gives an order that holds unless a later one has come meanwhile.
     async fn fenced(&self, data_centre: Name, is_evacuated: bool) -> Option<Outcome> {
-        let Reply::Head(base) = self.ask(Query::Head).await? else {
+        let Reply::CurrentVersion(base) = self.ask(Query::CurrentVersion).await? else {
             return None;
         };
         let order = Order {
@@ -84,6 +84,9 @@
         let view = &self.published.borrow().view;
         self.named.contains(data_centre)
             || view.evacuations.contains_key(data_centre)
-            || view.counts().iter().any(|c| c.data_centre == *data_centre)
+            || view
+                .endpoint_counts()
+                .iter()
+                .any(|c| c.data_centre == *data_centre)
     }
 }
--- a/components/node/src/front/refusal.rs
+++ b/components/node/src/frontend/refusal.rs
@@ -1,8 +1,8 @@
 //! Answers that the router gives itself.
 
-use crate::interface::{Interface, IDENTITY};
+use crate::interface::{Interface, REQUEST_ID};
 use bytes::Bytes;
-use coordination::ask;
+use coordination::messages;
 use http_body_util::Full;
 use hyper::header::{HeaderName, HeaderValue, CONTENT_TYPE};
 use hyper::{Response, StatusCode};
@@ -23,7 +23,7 @@
     /// Time after which coming back makes sense.
     pub(crate) retry_after: Option<Duration>,
     /// What a scheduler knew that refused it.
-    pub(crate) basis: Option<ask::Refusal>,
+    pub(crate) basis: Option<messages::Refusal>,
 }
 
 impl Refusal {
@@ -73,11 +73,11 @@
             "request": id.to_string(),
         });
         let mut response = Response::new(Full::new(Bytes::from(format!("{body}\n"))));
-        *response.status_mut() = (interface.status)(self.status, self.outcome);
+        *response.status_mut() = (interface.map_status)(self.status, self.outcome);
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         headers.insert(OUTCOME, HeaderValue::from_static(self.outcome.as_str()));
-        insert(headers, IDENTITY, &id.to_string());
+        insert(headers, REQUEST_ID, &id.to_string());
         if let Some(time) = self.retry_after {
             // Whole seconds where they are whole: not every caller reads fractions.
             let text = match time.subsec_millis() {
--- a/components/node/src/process.rs
+++ b/components/node/src/process.rs
@@ -2,26 +2,26 @@
 
 use crate::control::{self, Control};
 use crate::evacuation::Orders;
-use crate::front::{Front, Parts as FrontParts};
+use crate::frontend::{Context as FrontendContext, Frontend};
 use crate::input::Input;
 use crate::interface::Interface;
 use crate::journal::Journal;
 use crate::metric::Metrics;
+use crate::monitor::Lateness;
 use crate::operators::{self, Parts as OperatorParts};
 use crate::reactor::{Parts as ReactorParts, Reactor};
-use crate::shared::{raised, Published, Shared, Status};
-use crate::vitals::Lateness;
-use crate::{http, inventory, listing, platform, poll, readiness, releases, vitals};
-use coordination::agree::Admission;
-use coordination::budget::{Budget, Vm};
-use coordination::dispatcher::{Bounds, Home};
+use crate::shared::{cancelled, Published, Shared, Status};
+use crate::{http, inventory, listing, monitor, platform, poll, readiness, releases};
+use coordination::budget::{Budget, Resources};
+use coordination::consensus::Admission;
+use coordination::dispatcher::{Bounds, Location};
 use coordination::retry;
 use errors::{Error, Result};
 use protocol::wire::Hello;
 use settings::{Peers, Settings};
 use state::id::Name;
 use state::line::Line;
-use state::view::Place;
+use state::view::Node;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,8 +31,8 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::JoinHandle;
 use transport::clock::Clock;
-use transport::key::Keys;
 use transport::link::{Hub, Socket, Timing};
+use transport::tls::Credentials;
 
 /// Time between two looks at whether a stop may go on.
 const DRAIN_STEP: Duration = Duration::from_millis(50);
@@ -86,12 +86,12 @@
     /// When an address is taken, keys do not fit, or the disk is damaged.
     pub async fn start(settings: Settings, interface: Interface) -> Result<Self> {
         let keys = match &settings.link.keys {
-            Some(files) => Keys::read(&files.authority, &files.certificate, &files.key)?,
-            None => Keys::unauthenticated(&settings.vm.name)?,
+            Some(files) => Credentials::read(&files.authority, &files.certificate, &files.key)?,
+            None => Credentials::unauthenticated(&settings.vm.name)?,
         };
         let timing = Timing {
-            idle: Duration::from_millis(settings.link.idle_ms),
-            keep_alive: Duration::from_millis(settings.link.keep_alive_ms),
+            idle_timeout: Duration::from_millis(settings.link.idle_ms),
+            keep_alive_interval: Duration::from_millis(settings.link.keep_alive_ms),
         };
         let socket = Socket::bind(settings.link.listen, &keys, timing)?;
         Starter::new(settings, interface, socket)?.start().await
@@ -103,8 +103,8 @@
     }
 
     /// Where changed settings are told.
-    pub fn reloads(&self) -> Reloads {
-        Reloads {
+    pub fn reloader(&self) -> Reloader {
+        Reloader {
             reactor: self.reactor.clone(),
         }
     }
@@ -191,14 +191,14 @@
 
 /// Takes changed settings of a running process.
 #[derive(Clone)]
-pub struct Reloads {
+pub struct Reloader {
     reactor: flume::Sender<Input>,
 }
 
-impl Reloads {
+impl Reloader {
     /// Follows what can change while a process runs: where control VMs are found.
     /// All else takes a restart.
-    pub fn follow(&self, settings: &Settings) {
+    pub fn apply(&self, settings: &Settings) {
         let seeds = settings.peers.places().to_vec();
         // A process that is ending needs no seeds.
         let _ = self.reactor.send(Input::Seeds(seeds));
@@ -210,7 +210,7 @@
     settings: Settings,
     interface: Interface,
     socket: Socket,
-    place: Place,
+    place: Node,
     incarnation: u64,
     clock: Clock,
     journal: Journal,
@@ -222,7 +222,7 @@
         let address = socket.address()?;
         let clock = Clock::default();
         Ok(Starter {
-            place: Place {
+            place: Node {
                 vm: settings.vm.name.clone(),
                 address,
             },
@@ -237,8 +237,8 @@
     }
 
     /// Control VMs, with this one's own port where the settings left it open.
-    fn seeds(&self) -> Vec<Place> {
-        let mut seeds: Vec<Place> = self.settings.peers.places().to_vec();
+    fn seeds(&self) -> Vec<Node> {
+        let mut seeds: Vec<Node> = self.settings.peers.places().to_vec();
         for seed in &mut seeds {
             if seed.vm == self.place.vm && seed.address.port() == 0 {
                 seed.address = self.place.address;
@@ -251,8 +251,8 @@
     fn budget(settings: &Settings) -> Budget {
         let named = settings.vm.descriptors.unwrap_or(u64::MAX);
         let limit = transport::descriptor::limit().unwrap_or(u64::MAX);
-        let vm = Vm {
-            memory: settings.vm.memory,
+        let vm = Resources {
+            memory_bytes: settings.vm.memory,
             descriptors: named.min(limit),
         };
         let budget = Budget::from(vm);
@@ -325,7 +325,7 @@
         let hello = Hello {
             place: self.place.clone(),
             incarnation: self.incarnation,
-            operators: operators_address,
+            operator_address: operators_address,
             data_centre: self.settings.vm.data_centre.clone(),
         };
         let (hub, events) = self.socket.start(hello, self.clock.clone());
@@ -383,7 +383,7 @@
             metrics: self.metrics.clone(),
             seeds,
             listing_ms: (self.settings.listing.as_ref()).map_or(LISTING_MS, |l| l.every_ms),
-            home: Home {
+            home: Location {
                 region: self.settings.vm.region.clone(),
                 data_centre: self.settings.vm.data_centre.clone(),
                 incarnation: hub.hello().incarnation,
@@ -428,7 +428,7 @@
         );
         let memory = self.settings.vm.memory;
         let budget = Starter::budget(&self.settings);
-        let vitals = vitals::run(
+        let monitor = monitor::run(
             lateness.clone(),
             self.metrics.clone(),
             memory,
@@ -436,7 +436,7 @@
             published.clone(),
             stopped.clone(),
         );
-        tasks.push(tokio::spawn(vitals));
+        tasks.push(tokio::spawn(monitor));
         if self.settings.scheduler {
             tasks.push(tokio::spawn(poll::run(reactor.clone(), stopped.clone())));
             if let Some(inventory) = self.interface.inventory {
@@ -453,14 +453,14 @@
             )));
         }
         if let (Some(callers), Some(listener)) = (&self.settings.callers, listener) {
-            let front = Front::new(FrontParts {
+            let frontend = Frontend::new(FrontendContext {
                 callers: callers.clone(),
-                queue_customer: self.settings.router.queue_customer,
+                customer_queue_limit: self.settings.router.queue_customer,
                 budget,
                 lateness,
-                stale_ms: self.settings.router.stale_ms,
+                max_proof_age_ms: self.settings.router.stale_ms,
                 interface: self.interface,
-                retries: retry::Bounds {
+                retry_bounds: retry::Bounds {
                     per_mille: self.settings.router.retries.per_mille,
                     extra: self.settings.router.retries.extra,
                     window_ms: self.settings.router.retries.window_ms,
@@ -474,7 +474,7 @@
                 published: published.clone(),
                 verdicts,
             });
-            tasks.push(tokio::spawn(front.run(listener, stopped)));
+            tasks.push(tokio::spawn(frontend.run(listener, stopped)));
         }
         let addresses = Addresses {
             link: self.place.address,
@@ -512,7 +512,7 @@
     match peers {
         Peers::Named(_) => Admission::Seeds,
         Peers::Seeds(seeds) => Admission::Open {
-            begins: control.begins,
+            may_bootstrap: control.begins,
             // Seeds are three at most, where more may be lost than three voters bear.
             voters: seeds.len().max(control.voters()),
         },
@@ -555,7 +555,7 @@
                 Ok(event) => if reactor.send(Input::Link(event)).is_err() { return },
                 Err(_) => return,
             },
-            () = raised(&mut stop) => return,
+            () = cancelled(&mut stop) => return,
         }
     }
 }
