--- a/components/coordination/src/dispatcher/backoff.rs
+++ b/components/coordination/src/dispatcher/backoff.rs
@@ -1,38 +1,39 @@
-//! Endpoints that want no requests of this router, and requests that could go nowhere else.
+//! Handles endpoints that have asked for a backoff, and requests that no other endpoint can
+//! serve.
 
 use super::queue::Stage;
 use super::{endpoints, Dispatcher, Effect, Effects, Handle};
 use crate::backoff::Backoff;
-use crate::dispatcher::local::LOCAL;
+use crate::dispatcher::local::LOCAL_EPOCH;
 use crate::messages::Seq;
 use crate::prelude::*;
 use state::view::Shard;
 
-/// Callers that are told different times to come back, of those that are refused at once.
-const SPREAD: u32 = 16;
-/// Time between two of these times, in milliseconds.
-const SPREAD_MS: u32 = 20;
-/// Time for which a scheduler is told to pass over an endpoint that gets no new work, in
-/// milliseconds: it will have heard of that by itself by then, or is told again.
-const AWAY_MS: u32 = 500;
+/// Number of different retry times for callers that are refused together.
+const RETRY_STEPS: u32 = 16;
+/// Time between two of these retry times, in milliseconds.
+const RETRY_STEP_MS: u32 = 20;
+/// Backoff reported to a scheduler for an endpoint that gets no new work, in milliseconds.
+/// By then the scheduler has learned of this itself, or the backoff is reported again.
+const CLOSED_BACKOFF_MS: u32 = 500;
 
 impl Dispatcher {
-    /// Takes what an endpoint has said of itself in its answer to a request; true if it says
-    /// more than was known.
+    /// Records the backoff that an endpoint has asked for in its answer to a request, and
+    /// reports the backoff to the scheduler. The flag is true if this changes what was known.
     pub fn backoff(&mut self, now: Millis, handle: Handle, backoff: Backoff) -> (bool, Effects) {
         let mut effects = Effects::new();
-        let is_news = self.backoffs.record(now, &backoff);
+        let has_changed = self.backoffs.record(now, &backoff);
         let shard = self.requests.get(handle).map(|r| r.shard.clone());
-        if let Some(shard) = shard.filter(|_| is_news) {
-            self.tell(now, &shard, Report::Backoff(backoff), &mut effects);
+        if let Some(shard) = shard.filter(|_| has_changed) {
+            self.report(now, &shard, Report::Backoff(backoff), &mut effects);
         }
-        (is_news, effects)
+        (has_changed, effects)
     }
 
-    /// Gives back a grant of an endpoint that is away, and queues its request again; false
-    /// if the endpoint is not away.
+    /// Returns a grant for an endpoint that must not be sent requests now, and queues its
+    /// request again. Returns false if the endpoint may be used.
     ///
-    /// The grant was on its way when the endpoint said so, or its scheduler has not heard.
+    /// The grant crossed with the backoff, or the scheduler does not know of it.
     pub(super) fn decline(
         &mut self,
         now: Millis,
@@ -41,14 +42,14 @@
         effects: &mut Effects,
     ) -> bool {
         let known = self.backoffs.get(now, grant.endpoint);
-        let Some(backoff) = known.or_else(|| self.away(grant.endpoint)) else {
+        let Some(backoff) = known.or_else(|| self.closed_backoff(grant.endpoint)) else {
             return false;
         };
         let session = self.sessions.get_mut(shard);
         let handle = session.and_then(|s| s.asked.remove(&grant.seq));
-        // A scheduler that has lost sight of the endpoint meanwhile has forgotten it.
-        self.tell(now, shard, Report::Backoff(backoff), effects);
-        self.tell(now, shard, Report::Return(grant.seq), effects);
+        // A scheduler forgets backoffs of endpoints that it has lost from its view meanwhile.
+        self.report(now, shard, Report::Backoff(backoff), effects);
+        self.report(now, shard, Report::Return(grant.seq), effects);
         let Some((handle, request)) = handle.and_then(|h| Some((h, self.requests.get_mut(h)?)))
         else {
             return true;
@@ -62,48 +63,50 @@
         let queue = self.classes.entry((service, class)).or_default();
         queue.asked = queue.asked.saturating_sub(1);
         queue.waiting.push_front(handle);
-        self.announce(now, service, class, effects);
+        self.send_asks(now, service, class, effects);
         true
     }
 
-    /// What a scheduler is told of an endpoint that gets no new work: it grants it still,
-    /// since it has not heard.
-    fn away(&self, endpoint: EndpointId) -> Option<Backoff> {
-        self.away.contains(&endpoint).then_some(Backoff {
-            endpoint,
-            ms: AWAY_MS,
-            is_leaving: false,
-        })
+    /// Backoff to report for an endpoint that gets no new work, to a scheduler that still
+    /// grants the endpoint's slots.
+    fn closed_backoff(&self, endpoint: EndpointId) -> Option<Backoff> {
+        self.closed_endpoints
+            .contains(&endpoint)
+            .then_some(Backoff {
+                endpoint,
+                ms: CLOSED_BACKOFF_MS,
+                is_leaving: false,
+            })
     }
 
-    /// Until when every endpoint of a shard is away, if they all are.
+    /// Earliest end of the backoffs of a shard's endpoints, if all of them have one.
     pub(super) fn unavailable_until(&self, now: Millis, shard: &Shard) -> Option<Millis> {
-        self.unavailable
+        self.unavailable_shards
             .get(shard)
             .copied()
             .filter(|until| *until > now)
     }
 
-    /// Finds the shards of which every endpoint is away, and refuses requests that would be
-    /// late by the time one returns.
-    pub(super) fn follow_backoffs(&mut self, now: Millis, view: &View, effects: &mut Effects) {
-        self.unavailable.clear();
+    /// Finds the shards whose endpoints have all asked for a backoff, and refuses requests
+    /// that would be late by the time the first backoff ends.
+    pub(super) fn apply_backoffs(&mut self, now: Millis, view: &View, effects: &mut Effects) {
+        self.unavailable_shards.clear();
         if self.backoffs.is_empty() {
             return;
         }
         self.backoffs.expire(now);
         for shard in self.sessions.keys() {
-            if self.backoffs.len() < self.spread.open(shard) {
+            if self.backoffs.len() < self.selector.open(shard) {
                 continue;
             }
             let open = endpoints(view, shard).filter(|(_, _, _, leaving)| !leaving);
             let until = |id| self.backoffs.until(now, id).unwrap_or(now);
             let first = open.map(|(id, ..)| until(id)).min();
             if let Some(first) = first.filter(|first| *first > now) {
-                self.unavailable.insert(shard.clone(), first);
+                self.unavailable_shards.insert(shard.clone(), first);
             }
         }
-        if self.unavailable.is_empty() {
+        if self.unavailable_shards.is_empty() {
             return;
         }
         let waits = |r: &super::Request| !matches!(r.stage, Stage::Held { .. });
@@ -117,13 +120,13 @@
         for (n, (handle, wait_ms)) in (0..).zip(late) {
             self.drop_waiting(now, handle, effects);
             let wait_ms = u32::try_from(wait_ms).unwrap_or(u32::MAX);
-            // Callers that are refused together must not come back together.
-            let spread_ms = n % SPREAD * SPREAD_MS;
+            // Callers that are refused together must not all retry at once.
+            let delay_ms = n % RETRY_STEPS * RETRY_STEP_MS;
             let refusal = Refusal {
-                epoch: LOCAL,
+                epoch: LOCAL_EPOCH,
                 seq: Seq(0),
                 wait_ms,
-                after_ms: wait_ms.saturating_add(spread_ms),
+                after_ms: wait_ms.saturating_add(delay_ms),
             };
             effects.push(Effect::Refuse(handle, refusal));
         }
--- a/components/coordination/src/dispatcher/local.rs
+++ b/components/coordination/src/dispatcher/local.rs
@@ -1,18 +1,20 @@
-//! How a dispatcher grants itself a share of the slots, while it has no scheduler.
+//! Local scheduling: while a shard has no scheduler, the dispatcher grants itself a share of
+//! the slots.
 
 use super::{endpoints, set_cold, set_engines, Dispatcher, Effects};
 use crate::prelude::*;
 use crate::scheduler::{Effect as LocalEffect, Scheduler, Session as LocalSession, GATHER_MS};
 use state::view::Shard;
 
-/// Time without a scheduler after which the dispatcher grants itself, in milliseconds.
+/// Time without a scheduler after which the dispatcher schedules locally, in milliseconds.
 pub const LOCAL_AFTER_MS: u64 = 300;
 
-/// The epoch of a dispatcher that schedules for itself; assignments begin at 1.
-pub(super) const LOCAL: Epoch = Epoch(0);
+/// Epoch of a dispatcher's local scheduler; epochs of assignments begin at 1.
+pub(super) const LOCAL_EPOCH: Epoch = Epoch(0);
 
 impl Dispatcher {
-    pub(super) fn use_local(
+    /// Applies the effects of the local scheduler.
+    pub(super) fn apply_local(
         &mut self,
         now: Millis,
         shard: &Shard,
@@ -21,13 +23,14 @@
     ) {
         for effect in granted {
             match effect {
-                LocalEffect::Grant(_, grant) => self.use_grant(now, shard, grant, effects),
-                LocalEffect::Refuse(_, refusal) => self.use_refusal(now, shard, refusal, effects),
+                LocalEffect::Grant(_, grant) => self.apply_grant(now, shard, grant, effects),
+                LocalEffect::Refuse(_, refusal) => self.apply_refusal(now, shard, refusal, effects),
                 LocalEffect::Ejected(_) | LocalEffect::Restored(_) | LocalEffect::Inquire(_) => {}
             }
         }
     }
 
+    /// Starts a local scheduler for a shard.
     pub(super) fn schedule_locally(
         &mut self,
         now: Millis,
@@ -40,21 +43,24 @@
         let Some(session) = self.sessions.get_mut(shard) else {
             return;
         };
-        // It need not gather, it is alone.
-        let past = Millis(now.0.saturating_sub(GATHER_MS));
-        let hello = session.introduce(held, backoff);
-        session.local = Some((Scheduler::new(LOCAL, past), LocalSession::default()));
-        // It must know its endpoints before it hears what they have.
-        self.arm_local(now, view, shard);
+        // It is the only router in the session, so it need not wait to gather others.
+        let gathered = Millis(now.0.saturating_sub(GATHER_MS));
+        let hello = session.build_hello(held, backoff);
+        session.local = Some((
+            Scheduler::new(LOCAL_EPOCH, gathered),
+            LocalSession::default(),
+        ));
+        // The scheduler must know its endpoints before the hello reports the slots in use.
+        self.set_local_shares(now, view, shard);
         let session = self.sessions.get_mut(shard);
         if let Some((local, opened)) = session.and_then(|s| s.local.as_mut()) {
             *opened = local.open(now, None, &hello);
         }
-        self.announce_all(now, shard, effects);
+        self.send_asks_for_service(now, shard, effects);
     }
 
-    /// Gives the local scheduler this router's share of each endpoint.
-    pub(super) fn arm_local(&mut self, now: Millis, view: &View, shard: &Shard) {
+    /// Sets this router's share of each endpoint in the local scheduler.
+    pub(super) fn set_local_shares(&mut self, now: Millis, view: &View, shard: &Shard) {
         let Some(session) = self.sessions.get_mut(shard) else {
             return;
         };
@@ -67,7 +73,7 @@
         set_engines(slots, view, shard);
         let service = view.config.services.get(&shard.service);
         if let Some(cold) = service.and_then(|s| s.cold) {
-            // How many share it is not known before a scheduler has told.
+            // The number of routers that share the rate is unknown until a scheduler reports it.
             let rate = if is_counted { cold.rate / routers } else { 0 };
             slots.set_cold_rate(Some(rate));
         }
@@ -78,8 +84,8 @@
             local.slots().set(id, share, 0, leaving);
         }
         if any == 0 {
-            // The smallest share is one slot, or nobody's requests would move.
-            let least = |e: &(EndpointId, u32, u32, bool)| mix(self.incarnation, e.0);
+            // The least share is one slot, or no request would make progress.
+            let least = |e: &(EndpointId, u32, u32, bool)| hash(self.incarnation, e.0);
             let open = endpoints(view, shard).filter(|(_, _, _, leaving)| !leaving);
             if let Some((id, ..)) = open.min_by_key(least) {
                 local.slots().set(id, 1, 0, false);
@@ -89,21 +95,21 @@
         let slots = local.slots();
         slots.retain(|id| known.contains(&id));
         let incarnation = self.incarnation;
-        set_cold(slots, now, view, |id| mix(incarnation, id) % 1000);
+        set_cold(slots, now, view, |id| hash(incarnation, id) % 1000);
     }
 }
 
 /// A router's share of an endpoint's slots when it schedules alone.
 ///
-/// The part that cannot be divided goes to some of the routers, others at each
-/// endpoint, so that all shares together are about the slots there are.
+/// Slots that cannot be divided evenly go to some of the routers, different ones for each
+/// endpoint, so that all shares together are about the number of slots.
 fn share(slots: u32, routers: u32, incarnation: u64, endpoint: EndpointId) -> u32 {
-    let lucky = mix(incarnation, endpoint) % u64::from(routers) < u64::from(slots % routers);
-    slots / routers + u32::from(lucky)
+    let extra = hash(incarnation, endpoint) % u64::from(routers) < u64::from(slots % routers);
+    slots / routers + u32::from(extra)
 }
 
-/// A number that looks random, the same for the same two.
-pub(super) fn mix(incarnation: u64, endpoint: EndpointId) -> u64 {
-    let mixed = incarnation ^ u64::from(endpoint.0).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    mixed.wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 32
+/// Hash of an incarnation and an endpoint.
+pub(super) fn hash(incarnation: u64, endpoint: EndpointId) -> u64 {
+    let product = incarnation ^ u64::from(endpoint.0).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    product.wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 32
 }
--- a/components/coordination/src/dispatcher/mod.rs
+++ b/components/coordination/src/dispatcher/mod.rs
@@ -1,24 +1,26 @@
-//! A router's dispatcher: requests that wait here, asks that are out, grants in use.
+//! Dispatcher of a router: queues requests, asks schedulers for endpoint slots, and tracks the
+//! slots that are held.
 //!
-//! Each shard has a session with its scheduler. While there is none, the dispatcher
-//! grants itself a share of the slots.
+//! The endpoints of a service are divided into shards, each with its own scheduler. The
+//! dispatcher has a session with the scheduler of each shard that it uses. While a shard has
+//! no scheduler, the dispatcher grants itself a share of the shard's slots.
 
 mod backoff;
 mod local;
 mod queue;
 mod remote;
+mod selection;
 mod session;
-mod spread;
 
 pub use self::local::LOCAL_AFTER_MS;
 pub use self::queue::ASK_WINDOW;
 pub use self::remote::{REMOTE_AFTER_MS, REMOTE_ASKS_MAX};
+pub use self::selection::Location;
 pub use self::session::HELLO_RETRY_MS;
-pub use self::spread::Location;
 
 use self::queue::{Queue, Request, Stage};
+use self::selection::{Selector, State};
 use self::session::Session;
-use self::spread::{Spread, State};
 use crate::backoff::Backoffs;
 use crate::messages::Placement;
 use crate::overload::HotSpot;
@@ -30,130 +32,138 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 slotmap::new_key_type! {
-    /// A request at this dispatcher.
+    /// Identifies a request at this dispatcher.
     pub struct Handle;
 }
 
-/// Largest factor between two reports of one request's growing cost.
+/// Factor by which a request's cost must grow before it is reported again.
 const PROGRESS_FACTOR: u32 = 2;
 
-/// Part of its aim for which the first of a class may wait to be asked for, before
-/// newcomers of the class are turned away.
+/// Divisor of a request's aim, its time to first byte, that gives how long the first request
+/// of a class may wait without an ask before new requests of the class are refused.
 ///
-/// The scheduler knows of [`ASK_WINDOW`] requests of a class, and refuses what would be late of
-/// them; what waits behind them it does not see. Bounded by a number alone, 512 of each
-/// kind waited 1.5 s here to be refused then.
-const STUCK_PART: u64 = 4;
-/// Part of its aim for which a request may wait to be asked for.
-const UNASKED_PART: u64 = 2;
-/// Time after which the caller of such a one may come back, in milliseconds.
-const UNASKED_RETURN_MS: u32 = 300;
-
-/// A request that arrives.
+/// The scheduler sees [`ASK_WINDOW`] requests of a class and refuses those that would be late,
+/// but it does not see the requests behind them. With a bound on their number alone, hundreds
+/// of requests would wait long past their aims only to be refused then.
+const STUCK_AIM_DIVISOR: u64 = 4;
+/// Divisor of a request's aim that gives how long it may wait without an ask before it is
+/// refused.
+const UNASKED_AIM_DIVISOR: u64 = 2;
+/// Time after which the caller of such a refused request may retry, in milliseconds.
+const UNASKED_RETRY_AFTER_MS: u32 = 300;
+
+/// A request that arrives at the dispatcher.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// Service that it goes to.
+    /// Service that the request is for.
     pub service: ServiceId,
-    /// Whose it is, and by which rule.
+    /// Customer and rule of the request.
     pub class: Class,
-    /// Weight of the customer for it.
+    /// Fair-share weight of the customer.
     pub weight: u32,
-    /// Rank, 0 the most urgent.
+    /// Priority, 0 the most urgent.
     pub priority: u8,
     /// Requests a second over the whole fleet, 0 for no limit.
     pub rate: u32,
     /// Requests in progress over the whole fleet, 0 for no limit.
     pub concurrency: u32,
-    /// Requests of this class that may wait here.
+    /// Largest number of requests of this class that may wait here.
     pub queue: u32,
-    /// Expected cost, in units of the service.
+    /// Expected cost, in the service's cost units.
     pub hint: u32,
-    /// What is known of its prompt.
+    /// What is known of the request's prompt.
     pub prompt: Prompt,
-    /// Bytes that it keeps in memory while it waits.
+    /// Memory that the request takes while it waits, in bytes.
     pub bytes: u64,
-    /// Regions in which it may be served.
+    /// Regions in which the request may be served.
     pub regions: Regions,
-    /// When its caller counts the first byte of an answer as late.
+    /// When the first byte of the answer counts as late.
     pub aim: Millis,
-    /// When it is given up.
+    /// When the request is given up.
     pub deadline: Millis,
 }
 
-/// Why a request cannot wait here.
+/// Why the dispatcher rejects a request on arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// Its customer has too many waiting.
+    /// Too many requests of its class wait, or the first of them has waited too long.
     Customer,
-    /// The router has too many waiting, or too many bytes.
+    /// Too many requests wait at the router, or their bodies are too large.
     Router,
-    /// No endpoint serves it.
+    /// No endpoint can serve the request.
     NoEndpoint,
-    /// Its scheduler has just said that requests of its class would be late.
+    /// The answer would be late: the scheduler has just refused a request of its class, or all
+    /// endpoints have asked for a backoff.
     Late {
-        /// Time after which its caller may come back, in milliseconds.
+        /// Time after which the caller may retry, in milliseconds.
         after_ms: u32,
     },
 }
 
-/// Something that the dispatcher wants done.
+/// An action for the router to carry out.
 #[expect(
     clippy::large_enum_variant,
     reason = "most effects are reports, and boxes would cost each of them an allocation"
 )]
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Tell a scheduler.
+    /// Send a report to the scheduler of this assignment.
     Report(Assignment, Report),
     /// Send the request to this endpoint.
     Dispatch(Handle, EndpointId),
-    /// Refuse the request: it cannot be served in time.
+    /// Refuse the request, which cannot be served in time.
     Refuse(Handle, Refusal),
-    /// Refuse the request: no endpoint takes work for it.
+    /// Refuse the request because no endpoint takes work for it.
     Unserved(Handle),
-    /// Give the request up: its deadline has passed, and it was not sent.
+    /// Give up the request, which was not sent before its deadline.
     Expire(Handle),
 }
 
-/// Effects of one input.
+/// Effects of one input, in order.
 pub type Effects = Vec<Effect>;
 
-/// Bounds on what one router keeps.
+/// Bounds on the requests that wait at one router.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Requests that wait.
+    /// Largest number of waiting requests.
     pub requests: usize,
-    /// Bytes of bodies that wait.
+    /// Largest total size of their bodies, in bytes.
     pub bytes: u64,
 }
 
-/// The dispatcher of one router.
+/// Dispatcher of one router.
 pub struct Dispatcher {
+    /// Number that differs between routers and between restarts of a router.
     incarnation: u64,
-    spread: Spread,
+    selector: Selector,
     bounds: Bounds,
+    /// Requests that wait or are in progress.
     requests: SlotMap<Handle, Request>,
+    /// Waiting requests by class.
     classes: BTreeMap<(ServiceId, Class), Queue>,
     sessions: BTreeMap<Shard, Session>,
+    /// VMs to which a link is up.
     links: BTreeSet<Name>,
+    /// Number of waiting requests.
     waiting: usize,
+    /// Memory that waiting requests take, in bytes.
     bytes: u64,
     hot_spot: HotSpot,
     backoffs: Backoffs,
-    /// Endpoints that get no new work, as this router knows.
-    away: BTreeSet<EndpointId>,
-    /// Whether a request was queued again at a shard without endpoints that take work.
-    is_any_stranded: bool,
-    /// Shards of which every endpoint is away, and until when.
-    unavailable: BTreeMap<Shard, Millis>,
+    /// Endpoints that get no new work, according to the latest view.
+    closed_endpoints: BTreeSet<EndpointId>,
+    /// Whether a request was requeued at a shard without endpoints that take work.
+    has_stranded: bool,
+    /// Shards whose endpoints have all asked for a backoff, with the earliest end.
+    unavailable_shards: BTreeMap<Shard, Millis>,
 }
 
 impl Dispatcher {
-    /// A dispatcher without requests.
-    pub fn new(home: Location, bounds: Bounds) -> Self {
+    /// A dispatcher without requests or sessions.
+    pub fn new(location: Location, bounds: Bounds) -> Self {
         Dispatcher {
-            incarnation: home.incarnation,
-            spread: Spread::new(home),
+            incarnation: location.incarnation,
+            selector: Selector::new(location),
             bounds,
             requests: SlotMap::with_key(),
             classes: BTreeMap::new(),
@@ -163,18 +173,18 @@
             bytes: 0,
             hot_spot: HotSpot::default(),
             backoffs: Backoffs::default(),
-            away: BTreeSet::new(),
-            is_any_stranded: false,
-            unavailable: BTreeMap::new(),
+            closed_endpoints: BTreeSet::new(),
+            has_stranded: false,
+            unavailable_shards: BTreeMap::new(),
         }
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Requests that were dispatched and have not ended.
+    /// Number of requests that hold a slot.
     pub fn held(&self) -> usize {
         self.requests.len() - self.waiting
     }
@@ -184,15 +194,15 @@
         self.hot_spot.is_hot()
     }
 
-    /// Requests that other routers have in progress on average, as the schedulers tell.
-    fn usual(&self) -> usize {
-        let told = self.sessions.values().filter(|s| s.up);
-        let each = told.map(|s| s.running.div_ceil(s.routers));
+    /// Average number of requests in progress per router, according to the schedulers.
+    fn average_running(&self) -> usize {
+        let active = self.sessions.values().filter(|s| s.up);
+        let each = active.map(|s| s.running.div_ceil(s.routers));
         // CAST: 32 bits fit into a size on every supported target.
         each.map(|n| n as usize).sum()
     }
 
-    /// Waiting requests of each customer.
+    /// Number of waiting requests of each customer.
     pub fn queues(&self) -> BTreeMap<CustomerId, u32> {
         let mut queues = BTreeMap::new();
         for ((_, class), queue) in &self.classes {
@@ -203,23 +213,23 @@
         queues
     }
 
-    /// Shards with whether this dispatcher has a scheduler for them.
+    /// Shards in use, and whether each has a session with a scheduler.
     pub fn shards(&self) -> impl Iterator<Item = (&Shard, bool)> {
         self.sessions.iter().map(|(shard, s)| (shard, s.up))
     }
 
-    /// Routers that share the endpoints, as far as the schedulers tell.
+    /// Number of routers that share the endpoints, 1 before a scheduler has reported it.
     pub fn routers(&self) -> u32 {
         self.sessions.values().map(|s| s.routers).max().unwrap_or(1)
     }
 
-    /// The same, once a scheduler has told.
+    /// Number of routers that share the endpoints, once a scheduler has reported it.
     pub fn routers_reported(&self) -> Option<u32> {
-        let told = self.sessions.values().filter(|s| s.is_counted);
-        told.map(|s| s.routers).max()
+        let counted = self.sessions.values().filter(|s| s.is_counted);
+        counted.map(|s| s.routers).max()
     }
 
-    /// The shard to ask for a request.
+    /// Shard whose scheduler to ask for a request.
     fn shard(&self, now: Millis, arrival: &Arrival) -> Option<&Shard> {
         let state = |shard: &Shard| {
             let session = self.sessions.get(shard);
@@ -232,22 +242,22 @@
                 ..state
             }
         };
-        self.spread.choose(now, arrival, state)
+        self.selector.choose(now, arrival, state)
     }
 
-    /// Takes a request, or says why it cannot wait.
+    /// Queues a request and asks a scheduler for a slot, unless the request is rejected.
     ///
     /// # Errors
     ///
-    /// [`Rejection`] when a bound is reached or nothing serves the request.
+    /// [`Rejection`] if a bound is reached, the request would be late, or no endpoint serves it.
     pub fn arrive(
         &mut self,
         now: Millis,
         view: &View,
         arrival: Arrival,
     ) -> Result<(Handle, Effects), Rejection> {
-        if self.spread.is_empty() {
-            self.spread.follow(view);
+        if self.selector.is_empty() {
+            self.selector.follow(view);
         }
         let shard = self.shard(now, &arrival).cloned();
         let shard = shard.ok_or(Rejection::NoEndpoint)?;
@@ -263,7 +273,7 @@
             return Err(Rejection::Late { after_ms });
         }
         let session = self.sessions.get(&shard);
-        if let Some(after_ms) = session.and_then(|s| s.turned_away(now, arrival.class)) {
+        if let Some(after_ms) = session.and_then(|s| s.refused_retry_ms(now, arrival.class)) {
             return Err(Rejection::Late { after_ms });
         }
         let queue = self
@@ -274,7 +284,7 @@
             return Err(Rejection::Customer);
         }
         let first = queue.waiting.front().and_then(|h| self.requests.get(*h));
-        if first.is_some_and(|r| self.waits_in_vain(now, r, STUCK_PART)) {
+        if first.is_some_and(|r| self.is_stuck(now, r, STUCK_AIM_DIVISOR)) {
             return Err(Rejection::Customer);
         }
         let request = Request {
@@ -283,26 +293,26 @@
             is_moved: false,
             avoid: None,
             stage: Stage::Waiting,
-            since: now,
+            queued_at: now,
             asked_at: now,
             remote: None,
             cost: 0,
-            told: 0,
+            reported_cost: 0,
             placement: Placement::default(),
         };
         let handle = self.requests.insert(request);
-        self.wait(handle);
-        self.ensure(now, view, &shard);
+        self.enqueue(handle);
+        self.ensure_session(now, view, &shard);
         let mut effects = Effects::new();
-        self.announce(now, arrival.service, arrival.class, &mut effects);
+        self.send_asks(now, arrival.service, arrival.class, &mut effects);
         Ok((handle, effects))
     }
 
-    /// Ends a request whose caller went away while it waited.
+    /// Ends a request whose caller went away before it was sent.
     ///
-    /// A grant may have come at the same moment: the caller has gone without
-    /// taking it, and nothing was sent. Its slot must be given back, or it would
-    /// stay taken for good, seen as a request in progress that no endpoint has.
+    /// A grant may have arrived at the same moment, before the caller's task has seen it.
+    /// Nothing was sent, but the slot must still be released, or it would stay taken for
+    /// good.
     pub fn cancel(&mut self, now: Millis, handle: Handle) -> Effects {
         let held = |r: &Request| matches!(r.stage, Stage::Held { .. });
         if self.requests.get(handle).is_some_and(held) {
@@ -313,13 +323,13 @@
         effects
     }
 
-    /// How a request was placed that is dispatched.
+    /// Where a dispatched request was sent and why.
     pub fn placement(&self, handle: Handle) -> Placement {
         let request = self.requests.get(handle);
         request.map_or(Placement::default(), |r| r.placement)
     }
 
-    /// Queues a dispatched request again, after a failed try.
+    /// Queues a dispatched request again after a failed try.
     pub fn requeue(&mut self, now: Millis, handle: Handle, verdict: Verdict) -> Effects {
         let mut effects = Effects::new();
         let Some(request) = self.requests.get_mut(handle) else {
@@ -333,19 +343,19 @@
         let cost = request.cost;
         request.avoid = Some(endpoint);
         request.stage = Stage::Waiting;
-        request.since = now;
+        request.queued_at = now;
         request.cost = 0;
         let of = Some((class, request.arrival.weight));
         let done = Report::Done(seq, cost, verdict);
-        self.tell_of(now, &shard, of, done, &mut effects);
-        self.is_any_stranded |= self.spread.open(&shard) == 0;
-        self.wait(handle);
-        self.announce(now, service, class, &mut effects);
+        self.report_charged(now, &shard, of, done, &mut effects);
+        self.has_stranded |= self.selector.open(&shard) == 0;
+        self.enqueue(handle);
+        self.send_asks(now, service, class, &mut effects);
         effects
     }
 
-    /// Notes that the first byte of an answer has come, `took_ms` after the request was
-    /// dispatched; `None` if this router ran late, and what it measures says nothing.
+    /// Reports that the first byte of an answer has arrived, `took_ms` after the request was
+    /// dispatched; `None` if this router ran late and its measurement is unreliable.
     pub fn began(&mut self, now: Millis, handle: Handle, took_ms: Option<u32>) -> Effects {
         let mut effects = Effects::new();
         let Some(request) = self.requests.get(handle) else {
@@ -355,11 +365,11 @@
             return effects;
         };
         let shard = request.shard.clone();
-        self.tell(now, &shard, Report::Began(seq, took_ms), &mut effects);
+        self.report(now, &shard, Report::Began(seq, took_ms), &mut effects);
         effects
     }
 
-    /// Raises the cost of a dispatched request.
+    /// Updates the cost of a dispatched request, and reports the cost if it has grown enough.
     pub fn progress(&mut self, now: Millis, handle: Handle, cost: u32) -> Effects {
         let mut effects = Effects::new();
         let Some(request) = self.requests.get_mut(handle) else {
@@ -369,15 +379,15 @@
         let Stage::Held { seq, .. } = request.stage else {
             return effects;
         };
-        if cost >= request.told.max(1).saturating_mul(PROGRESS_FACTOR) {
-            request.told = cost;
+        if cost >= request.reported_cost.max(1).saturating_mul(PROGRESS_FACTOR) {
+            request.reported_cost = cost;
             let shard = request.shard.clone();
-            self.tell(now, &shard, Report::Progress(seq, cost), &mut effects);
+            self.report(now, &shard, Report::Progress(seq, cost), &mut effects);
         }
         effects
     }
 
-    /// Ends a dispatched request.
+    /// Ends a dispatched request and releases its slot.
     pub fn done(&mut self, now: Millis, handle: Handle, cost: u32, verdict: Verdict) -> Effects {
         let mut effects = Effects::new();
         let Some(request) = self.requests.get(handle) else {
@@ -391,14 +401,14 @@
         self.requests.remove(handle);
         let of = Some((arrival.class, arrival.weight));
         let done = Report::Done(seq, cost, verdict);
-        self.tell_of(now, &shard, of, done, &mut effects);
+        self.report_charged(now, &shard, of, done, &mut effects);
         effects
     }
 
-    /// Takes a grant.
+    /// Handles a grant from a scheduler.
     ///
-    /// A grant of an earlier epoch is dropped: that scheduler's slots belong to
-    /// its successor. A grant for a request that is gone is given back.
+    /// A grant of an earlier epoch is dropped, since that scheduler's slots belong to its
+    /// successor. A grant for a request that has ended is returned.
     pub fn grant(&mut self, now: Millis, grant: Grant) -> Effects {
         let mut effects = Effects::new();
         let found = self.sessions.iter_mut().find(|(_, s)| {
@@ -413,13 +423,13 @@
         let shard = shard.clone();
         session.routers = grant.routers.max(1);
         session.is_counted = true;
-        session.note_busy(u32::from(grant.busy));
+        session.record_busy(u32::from(grant.busy));
         session.running = grant.running;
-        self.use_grant(now, &shard, grant, &mut effects);
+        self.apply_grant(now, &shard, grant, &mut effects);
         effects
     }
 
-    /// Takes the refusal of an ask; one of an earlier epoch is dropped.
+    /// Handles a refusal from a scheduler; a refusal of an earlier epoch is dropped.
     pub fn refuse(&mut self, now: Millis, refusal: Refusal) -> Effects {
         let mut effects = Effects::new();
         let epoch = refusal.epoch;
@@ -433,17 +443,17 @@
         let Some(shard) = found.map(|(shard, _)| shard.clone()) else {
             return effects;
         };
-        self.use_refusal(now, &shard, refusal, &mut effects);
+        self.apply_refusal(now, &shard, refusal, &mut effects);
         effects
     }
 
-    /// Follows the view: new schedulers, endpoints that come and go.
+    /// Applies a new view: assignments of schedulers, and endpoints that join or leave.
     pub fn follow(&mut self, now: Millis, view: &View) -> Effects {
         let mut effects = Effects::new();
-        self.spread.follow(view);
+        self.selector.follow(view);
         let endpoints = view.config.endpoints.iter();
-        let away = endpoints.filter(|(id, endpoint)| !view.takes_work(**id, endpoint));
-        self.away = away.map(|(id, _)| *id).collect();
+        let closed = endpoints.filter(|(id, endpoint)| !view.takes_work(**id, endpoint));
+        self.closed_endpoints = closed.map(|(id, _)| *id).collect();
         let shards: Vec<Shard> = self.sessions.keys().cloned().collect();
         for shard in shards {
             let assignment = view.assignment(&shard).cloned();
@@ -453,46 +463,47 @@
             if session.assignment != assignment {
                 session.assignment = assignment;
                 session.hello_at = Some(now);
-                self.down(now, &shard);
+                self.end_session(now, &shard);
             }
-            self.arm_local(now, view, &shard);
+            self.set_local_shares(now, view, &shard);
         }
-        self.move_orphans(now, view, &mut effects);
+        self.move_stranded(now, view, &mut effects);
         effects
     }
 
-    /// Opens sessions with the schedulers near this router.
+    /// Opens sessions with the schedulers near this router ahead of requests.
     ///
-    /// Opened when the first request comes, hundreds of routers would open theirs at the moment
-    /// at which a flood or the end of an outage brings work.
+    /// If sessions were opened by the first request, hundreds of routers would open theirs at
+    /// once when a flood or the end of an outage brings work.
     pub fn open_nearby(&mut self, now: Millis, view: &View) {
-        for shard in self.spread.near(view) {
+        for shard in self.selector.nearby(view) {
             if view.assignment(&shard).is_some() {
-                self.ensure(now, view, &shard);
+                self.ensure_session(now, view, &shard);
             }
         }
     }
 
-    /// Notes that a link to a VM came up, and opens sessions over it.
+    /// Handles a new link to a VM, and opens sessions over the link.
     pub fn link_up(&mut self, now: Millis, vm: &Name) -> Effects {
         let mut effects = Effects::new();
         self.links.insert(vm.clone());
-        for shard in self.assigned_to(vm) {
-            self.down(now, &shard);
-            self.hello(now, &shard, &mut effects);
+        for shard in self.shards_on(vm) {
+            self.end_session(now, &shard);
+            self.send_hello(now, &shard, &mut effects);
         }
         effects
     }
 
-    /// Notes that a link to a VM was lost.
+    /// Handles the loss of a link to a VM, and ends the sessions over the link.
     pub fn link_down(&mut self, now: Millis, vm: &Name) {
         self.links.remove(vm);
-        for shard in self.assigned_to(vm) {
-            self.down(now, &shard);
+        for shard in self.shards_on(vm) {
+            self.end_session(now, &shard);
         }
     }
 
-    /// Notes that a VM does not know yet that it schedules in this epoch.
+    /// Handles the answer of a VM that has not learned of its assignment in this epoch yet:
+    /// the hello is sent again after a while.
     pub fn unassigned(&mut self, now: Millis, epoch: Epoch) {
         for session in self.sessions.values_mut() {
             if session
@@ -505,7 +516,8 @@
         }
     }
 
-    /// Lets time pass: gives up what is late, and acts alone where it must.
+    /// Runs periodic work: expires requests past their deadline, sends due hellos, and
+    /// schedules locally where there is no scheduler.
     pub fn tick(&mut self, now: Millis, view: &View) -> Effects {
         let mut effects = Effects::new();
         let late: Vec<Handle> = (self.requests.iter())
@@ -516,13 +528,13 @@
             self.drop_waiting(now, handle, &mut effects);
             effects.push(Effect::Expire(handle));
         }
-        if std::mem::take(&mut self.is_any_stranded) {
-            self.move_orphans(now, view, &mut effects);
+        if std::mem::take(&mut self.has_stranded) {
+            self.move_stranded(now, view, &mut effects);
         }
         self.refuse_unasked(now, &mut effects);
-        self.follow_backoffs(now, view, &mut effects);
-        let usual = self.usual();
-        self.hot_spot.update(self.held(), usual);
+        self.apply_backoffs(now, view, &mut effects);
+        let average = self.average_running();
+        self.hot_spot.update(self.held(), average);
         let shards: Vec<Shard> = self.sessions.keys().cloned().collect();
         for shard in shards {
             self.tick_session(now, view, &shard, &mut effects);
@@ -533,7 +545,7 @@
     }
 }
 
-/// Tells slots what the engines of a shard have in common.
+/// Configures slots with the engine settings of a shard's service.
 pub fn set_engines(slots: &mut Slots, view: &View, shard: &Shard) {
     let service = view.config.services.get(&shard.service);
     let engine = service.and_then(|s| s.engine);
@@ -543,8 +555,9 @@
     slots.set_cold_rate(service.and_then(|s| s.cold).map(|cold| cold.rate));
 }
 
-/// Tells slots which endpoints are cold, and until when. Of those who share the rates, each
-/// begins by another `part`, in thousandths, of the time between two requests.
+/// Configures slots with the endpoints that are cold, and until when. `part` staggers the
+/// schedulers that share a cold endpoint's rate: each starts at another fraction, in
+/// thousandths, of the time between two requests.
 pub fn set_cold<F>(slots: &mut Slots, now: Millis, view: &View, part: F)
 where
     F: Fn(EndpointId) -> u64,
@@ -554,7 +567,7 @@
     }
 }
 
-/// Endpoints of a shard: number, slots, lead, and whether it gets no new work.
+/// Endpoints of a shard: id, slots, lead, and whether the endpoint gets no new work.
 pub fn endpoints<'a>(
     view: &'a View,
     shard: &'a Shard,
--- a/components/coordination/src/dispatcher/queue.rs
+++ b/components/coordination/src/dispatcher/queue.rs
@@ -1,69 +1,82 @@
-//! Queues of waiting requests, and their way from arrival to dispatch.
+//! Queues of waiting requests: from arrival over the ask to the grant or refusal.
 
-use super::local::LOCAL;
+use super::local::LOCAL_EPOCH;
 use super::session::Session;
 use super::{Arrival, Dispatcher, Effect, Effects, Handle};
-use super::{UNASKED_PART, UNASKED_RETURN_MS};
+use super::{UNASKED_AIM_DIVISOR, UNASKED_RETRY_AFTER_MS};
 use crate::messages::{Placement, Seq};
 use crate::prelude::*;
 use state::view::Shard;
 use std::collections::VecDeque;
 
-/// Asks of one class that may be out at once; the rest wait for their turn, so
-/// that a flood on one router costs its scheduler no memory.
+/// Largest number of unanswered asks of one class. Further requests wait without an ask, so
+/// that a flood at one router costs its scheduler no memory.
 pub const ASK_WINDOW: u32 = 32;
 
-/// Waiting requests of a class among which one is sought whose scheduler can be asked.
-const LOOK: usize = 32;
+/// Largest number of waiting requests of a class to scan for one whose scheduler can be asked.
+const SCAN_MAX: usize = 32;
 
+/// Progress of a request towards its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
+    /// The request waits in its class's queue without an ask.
     Waiting,
+    /// A scheduler has been asked for a slot.
     Asked(Seq),
+    /// The request holds a slot.
     Held { seq: Seq, endpoint: EndpointId },
 }
 
+/// A request that waits or is in progress.
 #[derive(Clone, Debug)]
 pub(super) struct Request {
     pub(super) arrival: Arrival,
     pub(super) shard: Shard,
-    /// Whether another shard has refused it.
+    /// Whether another shard has refused the request before.
     pub(super) is_moved: bool,
+    /// Endpoint of the last failed try.
     pub(super) avoid: Option<EndpointId>,
     pub(super) stage: Stage,
-    pub(super) since: Millis,
-    /// When its scheduler was asked for it last.
+    /// When the request was queued.
+    pub(super) queued_at: Millis,
+    /// When a scheduler was last asked for a slot.
     pub(super) asked_at: Millis,
-    /// The ask in another region that runs beside the one in its own.
+    /// A second ask, in another region, beside the ask in the request's own region.
     pub(super) remote: Option<(Shard, Seq)>,
+    /// Cost so far.
     pub(super) cost: u32,
-    pub(super) told: u32,
-    /// How it was placed, once it is held.
+    /// Cost that the scheduler knows of.
+    pub(super) reported_cost: u32,
+    /// Where the request was sent and why, once it holds a slot.
     pub(super) placement: Placement,
 }
 
 impl Request {
-    /// Time since it was queued, in milliseconds.
-    pub(super) fn waited(&self, now: Millis) -> u64 {
-        now.since(self.since)
+    /// Time since the request was queued, in milliseconds.
+    pub(super) fn waited_ms(&self, now: Millis) -> u64 {
+        now.since(self.queued_at)
     }
 }
 
+/// Waiting requests of one class.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Queue {
+    /// Requests without an ask, in order.
     pub(super) waiting: VecDeque<Handle>,
-    /// Requests that wait, asked or not.
+    /// Number of waiting requests, with and without an ask.
     pub(super) count: u32,
+    /// Number of waiting requests with an ask.
     pub(super) asked: u32,
 }
 
-/// Time that is left until an answer is late, in milliseconds.
+/// Time left until the first byte of the answer counts as late, in milliseconds.
 pub(super) fn aim_ms(now: Millis, arrival: &Arrival) -> u32 {
     u32::try_from(arrival.aim.since(now)).unwrap_or(u32::MAX)
 }
 
 impl Dispatcher {
-    pub(super) fn wait(&mut self, handle: Handle) {
+    /// Adds a request to the queue of its class.
+    pub(super) fn enqueue(&mut self, handle: Handle) {
         let Some(request) = self.requests.get(handle) else {
             return;
         };
@@ -75,8 +88,8 @@
         queue.count += 1;
     }
 
-    /// Counts a request out of its queue.
-    pub(super) fn unwait(&mut self, arrival: &Arrival, asked: bool) {
+    /// Subtracts a request from the counts of its queue.
+    pub(super) fn uncount(&mut self, arrival: &Arrival, asked: bool) {
         self.waiting = self.waiting.saturating_sub(1);
         self.bytes = self.bytes.saturating_sub(arrival.bytes);
         if let Some(queue) = self.classes.get_mut(&(arrival.service, arrival.class)) {
@@ -87,6 +100,7 @@
         }
     }
 
+    /// Removes a waiting request and withdraws its asks.
     pub(super) fn drop_waiting(&mut self, now: Millis, handle: Handle, effects: &mut Effects) {
         let Some(request) = self.requests.get(handle) else {
             return;
@@ -95,7 +109,7 @@
         let shard = request.shard.clone();
         let stage = request.stage;
         if !matches!(stage, Stage::Held { .. }) {
-            self.leave_remote(now, handle, effects);
+            self.withdraw_remote(now, handle, effects);
         }
         match stage {
             Stage::Held { .. } => return,
@@ -104,59 +118,59 @@
                 if let Some(queue) = self.classes.get_mut(&key) {
                     queue.waiting.retain(|t| *t != handle);
                 }
-                self.unwait(&arrival, false);
+                self.uncount(&arrival, false);
             }
             Stage::Asked(seq) => {
                 if let Some(session) = self.sessions.get_mut(&shard) {
                     session.asked.remove(&seq);
                 }
-                self.tell(now, &shard, Report::Withdraw(seq), effects);
-                self.unwait(&arrival, true);
+                self.report(now, &shard, Report::Withdraw(seq), effects);
+                self.uncount(&arrival, true);
             }
         }
         self.requests.remove(handle);
-        self.announce(now, arrival.service, arrival.class, effects);
+        self.send_asks(now, arrival.service, arrival.class, effects);
     }
 
-    /// Whether a request has waited to be asked for longer than a part of its aim, while
-    /// there was a scheduler to ask.
+    /// Whether a request has waited without an ask for longer than its aim divided by
+    /// `divisor`, while its shard had a scheduler.
     ///
-    /// One that was sent before is not counted, nor one whose aim has passed: the scheduler
-    /// decides what is still worth it.
-    pub(super) fn waits_in_vain(&self, now: Millis, request: &Request, part: u64) -> bool {
+    /// False for a retry, and for a request whose aim had passed when it was queued: the
+    /// scheduler decides whether these are still worth serving.
+    pub(super) fn is_stuck(&self, now: Millis, request: &Request, divisor: u64) -> bool {
         let up = self.sessions.get(&request.shard).filter(|s| s.up);
         let Some(session) = up.filter(|_| request.stage == Stage::Waiting) else {
             return false;
         };
-        let since = request.since.max(session.up_since);
-        let aim = request.arrival.aim.since(request.since);
-        request.avoid.is_none() && aim > 0 && now.since(since) >= aim / part
+        let since = request.queued_at.max(session.up_since);
+        let aim = request.arrival.aim.since(request.queued_at);
+        request.avoid.is_none() && aim > 0 && now.since(since) >= aim / divisor
     }
 
-    /// Refuses requests that have waited too long to be asked for.
+    /// Refuses requests that have waited too long without an ask.
     ///
-    /// Kept, they would be asked for when they can no longer be in time, and their callers
-    /// would hold their connections for nothing. Without a scheduler all of them wait for
-    /// the next one.
+    /// By the time of their ask they could no longer be served in time, and their callers
+    /// would wait for nothing. Requests of a shard without a scheduler keep waiting for the
+    /// next one.
     pub(super) fn refuse_unasked(&mut self, now: Millis, effects: &mut Effects) {
         let late: Vec<(Handle, u64)> = (self.requests.iter())
-            .filter(|(_, r)| self.waits_in_vain(now, r, UNASKED_PART))
-            .map(|(handle, r)| (handle, r.waited(now)))
+            .filter(|(_, r)| self.is_stuck(now, r, UNASKED_AIM_DIVISOR))
+            .map(|(handle, r)| (handle, r.waited_ms(now)))
             .collect();
         for (handle, waited) in late {
             self.drop_waiting(now, handle, effects);
             let refusal = Refusal {
-                epoch: LOCAL,
+                epoch: LOCAL_EPOCH,
                 seq: Seq(0),
                 wait_ms: u32::try_from(waited).unwrap_or(u32::MAX),
-                after_ms: UNASKED_RETURN_MS,
+                after_ms: UNASKED_RETRY_AFTER_MS,
             };
             effects.push(Effect::Refuse(handle, refusal));
         }
     }
 
     /// Sends asks for waiting requests of a class, up to the window.
-    pub(super) fn announce(
+    pub(super) fn send_asks(
         &mut self,
         now: Millis,
         service: ServiceId,
@@ -175,8 +189,8 @@
                 let session = request.map(|r| self.sessions.get(&r.shard));
                 session.is_none_or(|s| s.is_some_and(Session::can_ask))
             };
-            // Those of a shard that has lost its scheduler do not hold up the others.
-            let mut next = queue.waiting.iter().take(LOOK);
+            // Requests for a shard without a scheduler must not block those behind them.
+            let mut next = queue.waiting.iter().take(SCAN_MAX);
             let Some(at) = next.position(can_ask) else {
                 return;
             };
@@ -190,8 +204,8 @@
                 return;
             };
             queue.asked += 1;
-            let seq = Seq(session.next);
-            session.next += 1;
+            let seq = Seq(session.next_seq);
+            session.next_seq += 1;
             session.asked.insert(seq, handle);
             request.stage = Stage::Asked(seq);
             request.asked_at = now;
@@ -210,21 +224,28 @@
                 remote: false,
             };
             let shard = request.shard.clone();
-            self.tell(now, &shard, Report::Ask(ask), effects);
+            self.report(now, &shard, Report::Ask(ask), effects);
         }
     }
 
-    pub(super) fn announce_all(&mut self, now: Millis, shard: &Shard, effects: &mut Effects) {
+    /// Sends asks for waiting requests of all classes of a shard's service.
+    pub(super) fn send_asks_for_service(
+        &mut self,
+        now: Millis,
+        shard: &Shard,
+        effects: &mut Effects,
+    ) {
         let classes: Vec<(ServiceId, Class)> = (self.classes.keys())
             .filter(|(service, _)| *service == shard.service)
             .copied()
             .collect();
         for (service, class) in classes {
-            self.announce(now, service, class, effects);
+            self.send_asks(now, service, class, effects);
         }
     }
 
-    pub(super) fn use_grant(
+    /// Uses a grant for its request, or returns the grant if the request has ended.
+    pub(super) fn apply_grant(
         &mut self,
         now: Millis,
         shard: &Shard,
@@ -238,14 +259,14 @@
             return;
         };
         let Some(handle) = session.asked.remove(&grant.seq) else {
-            self.tell(now, shard, Report::Return(grant.seq), effects);
+            self.report(now, shard, Report::Return(grant.seq), effects);
             return;
         };
         let remote = |r: &Request| r.shard != *shard;
         if self.requests.get(handle).is_some_and(remote) {
             self.move_remote(now, handle, shard, effects);
         } else {
-            self.leave_remote(now, handle, effects);
+            self.withdraw_remote(now, handle, effects);
         }
         let Some(session) = self.sessions.get_mut(shard) else {
             return;
@@ -253,34 +274,36 @@
         let Some(request) = self.requests.get_mut(handle) else {
             return;
         };
-        if grant.epoch != LOCAL {
-            session.hear();
+        if grant.epoch != LOCAL_EPOCH {
+            session.acknowledge();
             let customer = request.arrival.class.customer;
-            let memory = session.known.entry(customer).or_default();
-            memory.level = memory.level.max(grant.level);
+            let account = session.accounts.entry(customer).or_default();
+            account.level = account.level.max(grant.level);
             session.floor = session.floor.max(grant.floor);
-            let wait_ms = request.waited(now) + u64::from(grant.forecast.ahead_ms);
-            session.note_wait(now, customer, wait_ms);
+            let wait_ms = request.waited_ms(now) + u64::from(grant.forecast.ahead_ms);
+            session.record_wait(now, customer, wait_ms);
         }
         request.stage = Stage::Held {
             seq: grant.seq,
             endpoint: grant.endpoint,
         };
-        request.told = request.arrival.hint;
+        request.reported_cost = request.arrival.hint;
         request.placement = Placement {
             epoch: grant.epoch,
             copy_from: grant.copy_from,
             forecast: grant.forecast,
-            unasked_ms: u32::try_from(request.asked_at.since(request.since)).unwrap_or(u32::MAX),
+            unasked_ms: u32::try_from(request.asked_at.since(request.queued_at))
+                .unwrap_or(u32::MAX),
         };
         let arrival = request.arrival;
         session.remember_sent(grant.endpoint, &arrival.prompt);
-        self.unwait(&arrival, true);
+        self.uncount(&arrival, true);
         effects.push(Effect::Dispatch(handle, grant.endpoint));
-        self.announce(now, arrival.service, arrival.class, effects);
+        self.send_asks(now, arrival.service, arrival.class, effects);
     }
 
-    pub(super) fn use_refusal(
+    /// Asks another shard for a refused request, or refuses the request for good.
+    pub(super) fn apply_refusal(
         &mut self,
         now: Millis,
         shard: &Shard,
@@ -297,33 +320,34 @@
         if self.requests.get(handle).is_none_or(remote) {
             return;
         }
-        self.leave_remote(now, handle, effects);
+        self.withdraw_remote(now, handle, effects);
         let Some(request) = self.requests.get(handle) else {
             return;
         };
         let arrival = request.arrival;
-        let aim_ms = arrival.aim.since(request.since);
+        let aim_ms = arrival.aim.since(request.queued_at);
         if let Some(session) = self.sessions.get_mut(shard) {
-            session.note_wait(now, arrival.class.customer, u64::from(refusal.wait_ms));
-            session.note_refusal(now, arrival.class, aim_ms, &refusal);
-            session.note_busy(100);
+            session.record_wait(now, arrival.class.customer, u64::from(refusal.wait_ms));
+            session.record_refusal(now, arrival.class, aim_ms, &refusal);
+            session.record_busy(100);
         }
-        if self.ask_elsewhere(now, handle, shard) {
-            self.announce(now, arrival.service, arrival.class, effects);
+        if self.ask_other_shard(now, handle, shard) {
+            self.send_asks(now, arrival.service, arrival.class, effects);
             return;
         }
         self.requests.remove(handle);
-        self.unwait(&arrival, true);
+        self.uncount(&arrival, true);
         effects.push(Effect::Refuse(handle, refusal));
-        self.announce(now, arrival.service, arrival.class, effects);
+        self.send_asks(now, arrival.service, arrival.class, effects);
     }
 
-    /// Lets a request that a shard has refused be asked for at another one, once, if that
-    /// has room; false if there is none.
+    /// Queues a request that one shard has refused to ask another shard, if that has room.
+    /// Returns false if there is no such shard or the request was moved before.
     ///
-    /// A router with few requests of a customer cannot know beforehand which shard is
-    /// pressed: one would see requests refused at one data centre beside idle ones.
-    fn ask_elsewhere(&mut self, now: Millis, handle: Handle, refused: &Shard) -> bool {
+    /// A router with few requests of a customer cannot know in advance which shard is
+    /// overloaded. Without a second ask, requests would be refused at one data centre while
+    /// others are idle.
+    fn ask_other_shard(&mut self, now: Millis, handle: Handle, refused: &Shard) -> bool {
         let Some(request) = self.requests.get(handle).filter(|r| !r.is_moved) else {
             return false;
         };
@@ -347,26 +371,30 @@
         true
     }
 
-    /// Moves waiting requests from shards whose last endpoint has gone, or that are
-    /// divided otherwise now.
-    pub(super) fn move_orphans(&mut self, now: Millis, view: &View, effects: &mut Effects) {
+    /// Moves requests from shards that have no endpoint left that takes work, or that no
+    /// longer exist because the region is divided into shards differently.
+    pub(super) fn move_stranded(&mut self, now: Millis, view: &View, effects: &mut Effects) {
         let gone: Vec<Shard> = (self.sessions.keys())
-            .filter(|shard| self.spread.open(shard) == 0)
-            .chain(self.sessions.keys().filter(|shard| !self.spread.has(shard)))
+            .filter(|shard| self.selector.open(shard) == 0)
+            .chain(
+                self.sessions
+                    .keys()
+                    .filter(|shard| !self.selector.contains(shard)),
+            )
             .cloned()
             .collect();
         for shard in gone {
             self.move_from(now, view, &shard, effects);
-            if !self.spread.has(&shard) && self.requests.values().all(|r| r.shard != shard) {
+            if !self.selector.contains(&shard) && self.requests.values().all(|r| r.shard != shard) {
                 self.sessions.remove(&shard);
             }
         }
     }
 
-    /// Refuses requests whose service has endpoints, none of which takes work.
+    /// Refuses requests of a shard whose endpoints all take no work.
     ///
-    /// Where it has none at all, they may have been replaced, and the next reading of the
-    /// list may show the new ones.
+    /// If the shard has no endpoints at all they may have been replaced, and the next update
+    /// of the list may show the new ones; its requests keep waiting.
     fn refuse_unserved(
         &mut self,
         now: Millis,
@@ -374,7 +402,7 @@
         unserved: Vec<Handle>,
         effects: &mut Effects,
     ) {
-        if !self.spread.has(shard) {
+        if !self.selector.contains(shard) {
             return;
         }
         for handle in unserved {
@@ -383,15 +411,15 @@
         }
     }
 
-    /// Moves what waits at a shard to others, and what is held there if another shard
-    /// covers its endpoint now.
+    /// Moves waiting requests from a shard to other shards, and requests in progress to the
+    /// shard that covers their endpoint now.
     fn move_from(&mut self, now: Millis, view: &View, shard: &Shard, effects: &mut Effects) {
         let mut moves: Vec<(Handle, Shard)> = Vec::new();
         let mut unserved: Vec<Handle> = Vec::new();
         for (handle, request) in self.requests.iter().filter(|(_, r)| r.shard == *shard) {
             let other = match request.stage {
-                Stage::Held { endpoint, .. } if !self.spread.has(shard) => {
-                    self.spread.covering(view, shard, endpoint)
+                Stage::Held { endpoint, .. } if !self.selector.contains(shard) => {
+                    self.selector.covering(view, shard, endpoint)
                 }
                 Stage::Held { .. } => None,
                 Stage::Waiting | Stage::Asked(_) => {
@@ -409,10 +437,10 @@
         if moves.is_empty() {
             return;
         }
-        self.down(now, shard);
+        self.end_session(now, shard);
         let mut others: Vec<Shard> = Vec::new();
         for (handle, other) in moves {
-            self.ensure(now, view, &other);
+            self.ensure_session(now, view, &other);
             let Some(request) = self.requests.get_mut(handle) else {
                 continue;
             };
@@ -420,16 +448,16 @@
             if let (Stage::Held { seq, .. }, Some(session)) =
                 (&mut request.stage, self.sessions.get_mut(&other))
             {
-                // Its number belonged to the other session.
-                *seq = Seq(session.next);
-                session.next += 1;
+                // The previous number belonged to the other session.
+                *seq = Seq(session.next_seq);
+                session.next_seq += 1;
             }
             if !others.contains(&other) {
                 others.push(other);
             }
         }
         for other in others {
-            self.announce_all(now, &other, effects);
+            self.send_asks_for_service(now, &other, effects);
         }
     }
 }
--- a/components/coordination/src/dispatcher/remote.rs
+++ b/components/coordination/src/dispatcher/remote.rs
@@ -1,22 +1,22 @@
-//! Asks in other regions, beside those at home, for requests that wait long.
+//! Asks sent to schedulers of other regions for requests that wait long in their own.
 
-use super::local::mix;
+use super::local::hash;
 use super::queue::{aim_ms, Request, Stage};
 use super::{Dispatcher, Effects, Handle};
 use crate::messages::Seq;
 use crate::prelude::*;
 use state::view::Shard;
 
-/// Wait after which a request is asked for in another region too, in
-/// milliseconds. Asked for at once, slots of another region would be granted
-/// and given back all the time.
+/// Time after which a waiting request is also asked for in another region, in milliseconds.
+/// If it were asked for at once, slots of the other region would constantly be granted and
+/// returned unused.
 pub const REMOTE_AFTER_MS: u64 = 250;
 
-/// Requests asked for in other regions at once.
+/// Largest number of unanswered asks in other regions.
 pub const REMOTE_ASKS_MAX: usize = 64;
 
 impl Dispatcher {
-    /// Asks other regions for requests that have waited here for a while.
+    /// Sends asks to other regions for requests that have waited for a while.
     pub(super) fn ask_remote(&mut self, now: Millis, view: &View, effects: &mut Effects) {
         let remote = self
             .requests
@@ -25,7 +25,7 @@
             .count();
         let waits = |r: &Request| {
             let asked = matches!(r.stage, Stage::Asked(_));
-            asked && r.remote.is_none() && now.since(r.since) >= REMOTE_AFTER_MS
+            asked && r.remote.is_none() && now.since(r.queued_at) >= REMOTE_AFTER_MS
         };
         let long: Vec<Handle> = (self.requests.iter())
             .filter(|(_, r)| waits(r))
@@ -33,11 +33,12 @@
             .take(REMOTE_ASKS_MAX.saturating_sub(remote))
             .collect();
         for handle in long {
-            self.ask_guest(now, view, handle, effects);
+            self.ask_remote_for(now, view, handle, effects);
         }
     }
 
-    pub(super) fn ask_guest(
+    /// Sends an ask for a request to a scheduler of another region, chosen at random.
+    pub(super) fn ask_remote_for(
         &mut self,
         now: Millis,
         view: &View,
@@ -53,20 +54,20 @@
             .map(|assignment| &assignment.shard)
             .filter(|s| s.service == home.service && s.region != home.region)
             .filter(|s| arrival.regions.contains(&s.region))
-            .filter(|s| self.spread.open(s) > 0)
+            .filter(|s| self.selector.open(s) > 0)
             .cloned()
             .collect();
         if others.is_empty() {
             return;
         }
         // CAST: the remainder is below the length, which is a `usize`.
-        let shard = others[(mix(now.0, EndpointId(0)) % others.len() as u64) as usize].clone();
-        self.ensure(now, view, &shard);
+        let shard = others[(hash(now.0, EndpointId(0)) % others.len() as u64) as usize].clone();
+        self.ensure_session(now, view, &shard);
         let Some(session) = self.sessions.get_mut(&shard).filter(|s| s.up) else {
             return;
         };
-        let seq = Seq(session.next);
-        session.next += 1;
+        let seq = Seq(session.next_seq);
+        session.next_seq += 1;
         session.asked.insert(seq, handle);
         if let Some(request) = self.requests.get_mut(handle) {
             request.remote = Some((shard.clone(), seq));
@@ -84,11 +85,11 @@
             avoid,
             remote: true,
         };
-        self.tell(now, &shard, Report::Ask(ask), effects);
+        self.report(now, &shard, Report::Ask(ask), effects);
     }
 
-    /// Takes back the ask in another region, if there is one.
-    pub(super) fn leave_remote(&mut self, now: Millis, handle: Handle, effects: &mut Effects) {
+    /// Withdraws a request's ask in another region, if there is one.
+    pub(super) fn withdraw_remote(&mut self, now: Millis, handle: Handle, effects: &mut Effects) {
         let request = self.requests.get_mut(handle);
         let Some((shard, seq)) = request.and_then(|r| r.remote.take()) else {
             return;
@@ -96,10 +97,11 @@
         if let Some(session) = self.sessions.get_mut(&shard) {
             session.asked.remove(&seq);
         }
-        self.tell(now, &shard, Report::Withdraw(seq), effects);
+        self.report(now, &shard, Report::Withdraw(seq), effects);
     }
 
-    /// Makes the region that granted a remote ask the home of its request.
+    /// Moves a request to the remote shard that granted its ask, and withdraws the ask in its
+    /// own region.
     pub(super) fn move_remote(
         &mut self,
         now: Millis,
@@ -116,7 +118,7 @@
             if let Some(session) = self.sessions.get_mut(&home) {
                 session.asked.remove(&seq);
             }
-            self.tell(now, &home, Report::Withdraw(seq), effects);
+            self.report(now, &home, Report::Withdraw(seq), effects);
         }
     }
 }
--- a/components/coordination/src/dispatcher/spread.rs
+++ b/components/coordination/src/dispatcher/selection.rs
@@ -1,10 +1,10 @@
-//! Which shard of a service a request is asked for at, where a region has several.
+//! Selects the shard of a service to ask for a request, where a region has several.
 //!
-//! The load: hundreds of engines in a few data centres, each with a scheduler of its own,
-//! and callers of whom two in three come to the routers of one data centre. Prompts share
-//! parts of thousands of tokens that take an engine a fifth of a second to read. Asked for
-//! at random, each part would be read in each data centre; asked for at home, one data
-//! centre would be overloaded beside idle ones.
+//! Designed for hundreds of engines in a few data centres, each with a scheduler of its own,
+//! where two in three callers come to the routers of one data centre. Prompts share parts of
+//! thousands of tokens that take an engine a fifth of a second to prefill. If shards were
+//! selected at random, each part would be prefilled in each data centre; if routers used only
+//! their own data centre, one would be overloaded while others are idle.
 
 use super::Arrival;
 use crate::assignment::shards;
@@ -14,39 +14,42 @@
 use state::view::{Cell, Shard};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Cells of its own data centre that a router asks, of each service.
-const CELLS_HERE: usize = 4;
-/// Other data centres whose shards it asks, one of each.
-const CENTRES: usize = 7;
+/// Largest number of cells of its own data centre that a router uses, per service.
+const LOCAL_CELLS_MAX: usize = 4;
+/// Largest number of other data centres in which a router uses a shard, per service.
+const OTHER_CENTRES_MAX: usize = 7;
 
-/// Tokens of shared parts from which on a request goes where others with these parts go:
-/// reading them takes an engine some 20 ms, several times the way to another data centre.
-const AFFINITY_TOKENS: u64 = 1000;
-/// Part of its aim that a request may be expected to wait at its shard before another one
-/// is sought: beyond it the scheduler is about to refuse.
-const PRESSED_PART: u64 = 4;
-/// Part of its aim that it waits at most at the other one. It is half, so that requests do
-/// not change places where all shards have too much to do, and lose the parts kept.
-const FREE_PART: u64 = 8;
-/// Time in which a measured wait loses half of its weight, in milliseconds: about what a
-/// scheduler needs to work off what it has let in.
-const HALF_LIFE_MS: u64 = 200;
-/// Time without its scheduler after which a shard is passed over for others, in
-/// milliseconds: a new link is up by then.
-const LOST_MS: u64 = 100;
+/// Least number of shared prompt tokens for which requests are sent to the same shard:
+/// prefilling them takes an engine some 20 ms, several times the round trip to another data
+/// centre.
+const AFFINITY_MIN_TOKENS: u64 = 1000;
+/// Divisor of a request's aim, its time to first byte, that gives the longest expected wait
+/// at its preferred shard. Beyond that the scheduler is about to refuse requests, and another
+/// shard is tried.
+const PRESSED_AIM_DIVISOR: u64 = 4;
+/// Divisor of a request's aim that gives the longest expected wait at such another shard. The
+/// wait is half of that at the preferred shard, so that requests don't move away from their
+/// cached prompt parts where all shards are overloaded.
+const FREE_AIM_DIVISOR: u64 = 8;
+/// Time in which a measured wait loses half of its weight, in milliseconds: about the time
+/// that a scheduler needs to serve the requests that it has accepted.
+const WAIT_HALF_LIFE_MS: u64 = 200;
+/// Time without its scheduler after which a shard is skipped for others, in milliseconds:
+/// enough for a new link to be established.
+const LOST_AFTER_MS: u64 = 100;
 
-/// Where a router stands.
+/// Location and identity of a router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Location {
-    /// Its region.
+    /// Region of the router.
     pub region: Name,
-    /// Its data centre.
+    /// Data centre of the router.
     pub data_centre: Name,
-    /// A number that differs between lives of routers.
+    /// Number that differs between routers and between restarts of a router.
     pub incarnation: u64,
 }
 
-/// How long requests of one customer have waited at one shard of late.
+/// Decaying average of the waits of one customer's requests at one shard.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Wait {
     ms: u64,
@@ -54,32 +57,33 @@
 }
 
 impl Wait {
-    /// Takes the wait of one more request, in milliseconds.
-    pub(super) fn note(&mut self, now: Millis, ms: u64) {
+    /// Adds the wait of one more request, in milliseconds.
+    pub(super) fn record(&mut self, now: Millis, ms: u64) {
         self.ms = u64::midpoint(self.ms(now), ms);
         self.at = now;
     }
 
-    /// What a newcomer may expect, in milliseconds: old news counts less and less.
+    /// Expected wait of a new request, in milliseconds. It halves with each half-life without
+    /// a new measurement.
     pub(super) fn ms(&self, now: Millis) -> u64 {
-        let halvings = now.since(self.at) / HALF_LIFE_MS;
+        let halvings = now.since(self.at) / WAIT_HALF_LIFE_MS;
         self.ms >> halvings.min(63)
     }
 }
 
-/// What a router knows of a shard when it chooses.
+/// What a router knows of a shard when it selects one.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct State {
-    /// Since when it has had no scheduler, if it has none.
+    /// When the shard lost its scheduler, if it has none.
     pub(super) down_since: Option<Millis>,
-    /// How long a request has to wait there, in milliseconds.
+    /// Expected wait of a request, in milliseconds.
     pub(super) wait_ms: u64,
-    /// Whether most of its engines have something to read.
+    /// Whether most of the shard's engines have a prompt to prefill.
     pub(super) is_busy: bool,
 }
 
 impl State {
-    /// Of a shard that was not asked yet.
+    /// State of a shard that has not been asked yet.
     pub(super) const UNKNOWN: State = State {
         down_since: None,
         wait_ms: 0,
@@ -87,7 +91,8 @@
     };
 
     fn is_lost(&self, now: Millis) -> bool {
-        self.down_since.is_some_and(|at| now.since(at) >= LOST_MS)
+        self.down_since
+            .is_some_and(|at| now.since(at) >= LOST_AFTER_MS)
     }
 
     fn waits_within(&self, now: Millis, ms: u64) -> bool {
@@ -95,56 +100,57 @@
     }
 }
 
-/// A shard that requests of this router may be asked for at.
+/// A shard that this router may ask for a request.
 #[derive(Clone, Debug)]
 struct Candidate {
     shard: Shard,
-    /// Endpoints that take work.
+    /// Number of endpoints that take work.
     open: u32,
-    /// A number that looks random, the same for the shard at all routers.
-    mark: u64,
+    /// Hash of the shard, the same at all routers.
+    hash: u64,
 }
 
 impl Candidate {
-    /// The lower, the sooner the shard is taken for a key: each key has an order of its
-    /// own, in which a shard comes first as often as it has endpoints (weighted rendezvous
-    /// hashing: Schindelhauer and Schomaker, 2005). One that is lost or added moves only the
-    /// keys that it takes.
+    /// Rank of the shard for a key; the shard with the lowest rank is preferred.
+    ///
+    /// Weighted rendezvous hashing (Schindelhauer and Schomaker, 2005): each key has its own
+    /// order of the shards, and a shard comes first for a share of the keys that is
+    /// proportional to its endpoints. A shard that is lost or added moves only its own keys.
     fn rank(&self, key: u64) -> f64 {
         // CAST: 53 bits fit into the mantissa.
-        let unit = ((mix(self.mark ^ mix(key)) >> 11) + 1) as f64 / (1_u64 << 53) as f64;
+        let unit = ((mix(self.hash ^ mix(key)) >> 11) + 1) as f64 / (1_u64 << 53) as f64;
         -unit.ln() / f64::from(self.open)
     }
 }
 
-/// The shards of each service.
+/// The shards of each service, and which of them this router uses.
 #[derive(Clone, Debug)]
-pub(super) struct Spread {
-    home: Location,
-    /// All that have endpoints, in any region.
+pub(super) struct Selector {
+    location: Location,
+    /// All shards that have endpoints, in any region.
     shards: BTreeSet<Shard>,
-    /// Those with endpoints that take work.
+    /// The shards with endpoints that take work.
     candidates: BTreeMap<ServiceId, Vec<Candidate>>,
-    /// Services whose engines copy parts of prompts from each other.
+    /// Services whose engines copy cached prompt parts from each other.
     copying: BTreeSet<ServiceId>,
 }
 
-impl Spread {
-    pub(super) fn new(home: Location) -> Self {
-        Spread {
-            home,
+impl Selector {
+    pub(super) fn new(location: Location) -> Self {
+        Selector {
+            location,
             shards: BTreeSet::new(),
             candidates: BTreeMap::new(),
             copying: BTreeSet::new(),
         }
     }
 
-    /// Whether no endpoint is known.
+    /// Whether no endpoint that takes work is known.
     pub(super) fn is_empty(&self) -> bool {
         self.candidates.is_empty()
     }
 
-    /// Endpoints of a shard that take work.
+    /// Number of endpoints of a shard that take work.
     pub(super) fn open(&self, shard: &Shard) -> usize {
         let candidates = self.candidates.get(&shard.service);
         let found = candidates.and_then(|all| all.iter().find(|c| c.shard == *shard));
@@ -152,7 +158,7 @@
         found.map_or(0, |c| c.open as usize)
     }
 
-    /// Follows a change of the endpoints.
+    /// Applies a change of the endpoints.
     pub(super) fn follow(&mut self, view: &View) {
         self.shards = shards(view);
         self.candidates.clear();
@@ -169,29 +175,30 @@
             let candidate = Candidate {
                 shard: shard.clone(),
                 open,
-                mark: mark(shard),
+                hash: hash(shard),
             };
             let all = self.candidates.entry(shard.service).or_default();
             all.push(candidate);
         }
     }
 
-    /// Shards near this router that it will ask: those of its own data centre, or of its region
-    /// where that is not divided. Before endpoints are known, those that have a scheduler.
-    pub(super) fn near(&self, view: &View) -> Vec<Shard> {
+    /// Shards near this router that it will use: the shards of its own data centre, or of its
+    /// region if that is not divided by data centre. Until endpoints are known, only shards
+    /// that have a scheduler.
+    pub(super) fn nearby(&self, view: &View) -> Vec<Shard> {
         let is_near = |shard: &Shard| {
-            let here = Some(&self.home.data_centre);
-            shard.region == self.home.region
+            let here = Some(&self.location.data_centre);
+            shard.region == self.location.region
                 && (shard.data_centre.is_none() || shard.data_centre.as_ref() == here)
         };
-        let mut near = Vec::new();
+        let mut nearby = Vec::new();
         for service in view.config.services.keys() {
             let assigned = view.assignments.iter().map(|a| &a.shard);
             let assigned = assigned.filter(|s| s.service == *service && is_near(s));
             let assigned = assigned.map(|shard| Candidate {
                 shard: shard.clone(),
                 open: 1,
-                mark: mark(shard),
+                hash: hash(shard),
             });
             let mut all: Vec<Candidate> = match self.candidates.get(service) {
                 Some(known) => known
@@ -201,26 +208,27 @@
                     .collect(),
                 None => assigned.collect(),
             };
-            let lot = self.home.incarnation;
-            all.sort_by(|a, b| a.rank(lot).total_cmp(&b.rank(lot)));
-            near.extend(all.into_iter().take(CELLS_HERE).map(|c| c.shard));
+            let seed = self.location.incarnation;
+            all.sort_by(|a, b| a.rank(seed).total_cmp(&b.rank(seed)));
+            nearby.extend(all.into_iter().take(LOCAL_CELLS_MAX).map(|c| c.shard));
         }
-        near
+        nearby
     }
 
-    /// Whether a shard has endpoints, as they are divided now.
-    pub(super) fn has(&self, shard: &Shard) -> bool {
+    /// Whether a shard exists and has endpoints.
+    pub(super) fn contains(&self, shard: &Shard) -> bool {
         self.shards.contains(shard)
     }
 
-    /// The shard that covers an endpoint now which `before` covered.
+    /// The shard that now covers an endpoint that `before` covered.
     pub(super) fn covering(&self, view: &View, before: &Shard, id: EndpointId) -> Option<&Shard> {
         let service = |shard: &&Shard| shard.service == before.service;
         let mut all = self.shards.iter().filter(service);
         if let Some(endpoint) = view.config.endpoints.get(&id) {
             return all.find(|shard| shard.covers(id, endpoint));
         }
-        // One that is not held here is in the same data centre, in another cell.
+        // An endpoint that this process does not know is in the same data centre, in another
+        // cell.
         all.find(|shard| {
             let is_in = |cell: Cell| Cell::covering(id, cell.of) == cell;
             shard.region == before.region
@@ -229,7 +237,7 @@
         })
     }
 
-    /// The shard to ask for a request; `state` tells what is known of each.
+    /// The shard to ask for a request. `state` returns what is known of a shard.
     pub(super) fn choose<F>(&self, now: Millis, arrival: &Arrival, state: F) -> Option<&Shard>
     where
         F: Fn(&Shard) -> State,
@@ -239,19 +247,19 @@
         let first = order.first()?;
         let is_pressed = order.len() > 1 && {
             let here = state(&first.shard);
-            !here.waits_within(now, aim_ms / PRESSED_PART)
+            !here.waits_within(now, aim_ms / PRESSED_AIM_DIVISOR)
         };
         if !is_pressed {
             return Some(&first.shard);
         }
         let mut others = order.iter().skip(1);
-        let free = others.find(|c| state(&c.shard).waits_within(now, aim_ms / FREE_PART));
+        let free = others.find(|c| state(&c.shard).waits_within(now, aim_ms / FREE_AIM_DIVISOR));
         let alive = || order.iter().find(|c| !state(&c.shard).is_lost(now));
         let chosen = free.or_else(alive).unwrap_or(first);
         Some(&chosen.shard)
     }
 
-    /// Shards of a service, the one that a request belongs to before the others.
+    /// Shards that this router may ask for a request, in order of preference.
     fn order<F>(&self, arrival: &Arrival, state: &F) -> SmallVec<[&Candidate; 8]>
     where
         F: Fn(&Shard) -> State,
@@ -259,23 +267,23 @@
         let all = self.candidates.get(&arrival.service).into_iter().flatten();
         let allowed = all.filter(|c| arrival.regions.contains(&c.shard.region));
         let mut order: SmallVec<[&Candidate; 8]> = allowed.collect();
-        keep_one_region(&mut order, &self.home.region);
+        keep_one_region(&mut order, &self.location.region);
         self.keep_within_reach(&mut order);
         if order.len() < 2 {
             return order;
         }
         let (key, tokens) = arrival.prompt.shared();
-        let here = order.iter().filter(|c| self.is_here(&c.shard));
+        let here = order.iter().filter(|c| self.is_local(&c.shard));
         let stays = here.clone().any(|c| !state(&c.shard).is_busy);
-        if tokens >= AFFINITY_TOKENS && !(stays && self.copying.contains(&arrival.service)) {
+        if tokens >= AFFINITY_MIN_TOKENS && !(stays && self.copying.contains(&arrival.service)) {
             order.sort_by(|a, b| a.rank(key.into()).total_cmp(&b.rank(key.into())));
             return order;
         }
-        let key = match tokens >= AFFINITY_TOKENS {
+        let key = match tokens >= AFFINITY_MIN_TOKENS {
             true => u64::from(key),
-            false => self.home.incarnation,
+            false => self.location.incarnation,
         };
-        let elsewhere = |c: &Candidate| !self.is_here(&c.shard);
+        let elsewhere = |c: &Candidate| !self.is_local(&c.shard);
         order.sort_by(|a, b| {
             let by_rank = a.rank(key).total_cmp(&b.rank(key));
             elsewhere(a).cmp(&elsewhere(b)).then(by_rank)
@@ -283,28 +291,28 @@
         order
     }
 
-    fn is_here(&self, shard: &Shard) -> bool {
-        shard.data_centre.as_ref() == Some(&self.home.data_centre)
+    fn is_local(&self, shard: &Shard) -> bool {
+        shard.data_centre.as_ref() == Some(&self.location.data_centre)
     }
 
-    /// Keeps the shards that this router may have sessions with: some cells of its own data
-    /// centre, and one of each of some others. Each router keeps others, so that all of them
-    /// are asked.
+    /// Limits the shards to those that this router has sessions with: some cells of its own
+    /// data centre, and one shard in each of some others. Routers keep different shards, so
+    /// that all shards are used.
     fn keep_within_reach(&self, all: &mut SmallVec<[&Candidate; 8]>) {
-        if all.len() <= CELLS_HERE {
+        if all.len() <= LOCAL_CELLS_MAX {
             return;
         }
-        let lot = self.home.incarnation;
-        all.sort_by(|a, b| a.rank(lot).total_cmp(&b.rank(lot)));
+        let seed = self.location.incarnation;
+        all.sort_by(|a, b| a.rank(seed).total_cmp(&b.rank(seed)));
         let mut here = 0;
-        let mut others: SmallVec<[&Name; CENTRES]> = SmallVec::new();
+        let mut others: SmallVec<[&Name; OTHER_CENTRES_MAX]> = SmallVec::new();
         all.retain(|candidate| {
-            if self.is_here(&candidate.shard) {
+            if self.is_local(&candidate.shard) {
                 here += 1;
-                return here <= CELLS_HERE;
+                return here <= LOCAL_CELLS_MAX;
             }
             let centre = (candidate.shard.data_centre.as_ref()).unwrap_or(&candidate.shard.region);
-            let is_new = others.len() < CENTRES && !others.contains(&centre);
+            let is_new = others.len() < OTHER_CENTRES_MAX && !others.contains(&centre);
             if is_new {
                 others.push(centre);
             }
@@ -313,7 +321,7 @@
     }
 }
 
-/// Endpoints of a shard that take work, given the counts of all.
+/// Number of endpoints of a shard that take work, given the counts of all endpoints.
 fn open(view: &View, counts: &[Count], shard: &Shard) -> u32 {
     let service = view.config.services.get(&shard.service).map(|s| &s.name);
     let is_covered = |count: &&Count| {
@@ -328,7 +336,7 @@
     open.div_ceil(cells.max(1))
 }
 
-/// Keeps the shards of a region, or of the first one if it has none.
+/// Limits the shards to one region: the given one, or the first by name if that has none.
 fn keep_one_region(all: &mut SmallVec<[&Candidate; 8]>, region: &Name) {
     let regions = || all.iter().map(|c| &c.shard.region);
     let chosen = regions().find(|r| *r == region).or_else(|| regions().min());
@@ -337,10 +345,10 @@
     }
 }
 
-/// A number that looks random, the same for the same shard.
-fn mark(shard: &Shard) -> u64 {
+/// Hash of a shard, the same at all routers.
+fn hash(shard: &Shard) -> u64 {
     let name = shard.data_centre.as_ref().unwrap_or(&shard.region);
     let cell = shard.cell.map_or(0, |cell| u64::from(cell.index));
     let bytes = name.as_str().bytes();
-    bytes.fold(cell, |mark, byte| mix(mark ^ u64::from(byte)))
+    bytes.fold(cell, |hash, byte| mix(hash ^ u64::from(byte)))
 }
--- a/components/coordination/src/dispatcher/session.rs
+++ b/components/coordination/src/dispatcher/session.rs
@@ -1,8 +1,8 @@
-//! Sessions with schedulers, and what is remembered from one to the next.
+//! Sessions with schedulers, and the state that is carried over to the next scheduler.
 
 use super::local::LOCAL_AFTER_MS;
 use super::queue::Stage;
-use super::spread::{State, Wait};
+use super::selection::{State, Wait};
 use super::{Dispatcher, Effect, Effects, Handle};
 use crate::backoff::Backoff;
 use crate::ledger::virtual_cost;
@@ -13,87 +13,103 @@
 use state::view::{Assignment, Shard};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Time before a refused hello is sent again, in milliseconds.
+/// Time before a hello is sent again to a VM that did not know of its assignment, in
+/// milliseconds.
 pub const HELLO_RETRY_MS: u64 = 50;
 
-/// Time for which newcomers of a class are refused as one of it was, in milliseconds: short
-/// beside the 300 ms after which a refused caller comes back at the earliest.
-const TURNED_MS: u64 = 100;
+/// Time for which new requests of a class are refused after a scheduler has refused one, in
+/// milliseconds: short compared to the 300 ms after which a refused caller retries at the
+/// earliest.
+const REFUSAL_MS: u64 = 100;
 
-/// Part of a shard's engines that have something to read from which on they count as busy, in
-/// hundredths.
+/// Percentage of a shard's engines with a prompt to prefill from which on the shard counts as
+/// busy.
 const BUSY_PERCENT: u32 = 60;
-/// Requests over which that part is averaged.
-const BUSY_MEMORY: u32 = 8;
+/// Number of requests over which that percentage is averaged.
+const BUSY_AVERAGE_REQUESTS: u32 = 8;
 
-/// Parts of prompts that are remembered for the next scheduler: some kilobytes in a
-/// hello, and the shared parts of a few hundred requests.
-const SENT: usize = 384;
+/// Largest number of prompt parts to remember for the next scheduler: the shared parts of a
+/// few hundred requests, which take some kilobytes in a hello.
+const SENT_PARTS_MAX: usize = 384;
 
-/// What is remembered of a customer's service.
+/// Service received by one customer, and the waits of its requests.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Memory {
-    /// Over the whole fleet, as the last grant told it.
+pub(super) struct Account {
+    /// Virtual service over the whole fleet, from the last grant.
     pub(super) level: u64,
-    /// Given here since, without a scheduler that counted it.
+    /// Virtual service given through this router that no scheduler has counted yet.
     pub(super) spent: u64,
-    /// How long its requests have waited there of late.
+    /// Recent waits of the customer's requests at the shard.
     pub(super) wait: Wait,
 }
 
+/// Session with the scheduler of one shard. The struct outlives a scheduler, and is reused
+/// for the next one.
 #[derive(Clone, Debug)]
 pub(super) struct Session {
+    /// The shard's scheduler, once assigned.
     pub(super) assignment: Option<Assignment>,
+    /// Whether a hello was sent over a link that is up.
     pub(super) up: bool,
+    /// When to send the next hello.
     pub(super) hello_at: Option<Millis>,
+    /// When the session last went down.
     pub(super) down_since: Millis,
+    /// When the session last came up.
     pub(super) up_since: Millis,
-    pub(super) next: u64,
+    /// Number of the next ask.
+    pub(super) next_seq: u64,
+    /// Requests with an unanswered ask.
     pub(super) asked: BTreeMap<Seq, Handle>,
-    pub(super) known: BTreeMap<CustomerId, Memory>,
+    /// Service received by customers.
+    pub(super) accounts: BTreeMap<CustomerId, Account>,
+    /// Largest virtual-time floor received with a grant.
     pub(super) floor: u64,
-    /// Changes each time that a scheduler has shown that it counted what was spent.
-    telling: u64,
-    /// Whether the scheduler has shown, by a grant, that it took the hello.
-    pub(super) heard: bool,
+    /// Identifies the spending in `accounts`. Changes each time a scheduler has shown that it
+    /// counted the spending.
+    usage_id: u64,
+    /// Whether the scheduler has shown by a grant that it received the hello.
+    pub(super) is_acknowledged: bool,
+    /// Number of routers with a session at the scheduler.
     pub(super) routers: u32,
-    /// Whether a scheduler has told how many routers there are.
+    /// Whether a scheduler has reported the number of routers.
     pub(super) is_counted: bool,
-    /// Requests in progress of all routers with a session there.
+    /// Requests in progress at all routers with a session there.
     pub(super) running: u32,
-    /// Part of its engines that have something to read, in hundredths, averaged.
+    /// Average percentage of the shard's engines with a prompt to prefill.
     busy: u32,
+    /// The local scheduler and its session, while there is no other.
     pub(super) local: Option<(Scheduler, LocalSession)>,
-    /// Until when newcomers of a class are refused as one of it was, and when they may
-    /// come back.
-    turned: BTreeMap<Class, (Millis, u32)>,
-    /// Parts of prompts that were sent last.
+    /// Classes of which a request was refused: until when new requests are refused too, and
+    /// after how many milliseconds their callers may retry.
+    refused: BTreeMap<Class, (Millis, u32)>,
+    /// Prompt parts that were sent to engines last.
     sent: VecDeque<Cached>,
 }
 
 impl Session {
-    /// The hello that tells what this router holds and remembers.
-    pub(super) fn introduce(&self, held: Vec<Held>, backoff: Vec<Backoff>) -> Hello {
-        let known = self.known.iter().map(|(customer, memory)| Usage {
+    /// The hello that reports the slots held and the state remembered by this router.
+    pub(super) fn build_hello(&self, held: Vec<Held>, backoff: Vec<Backoff>) -> Hello {
+        let usage = self.accounts.iter().map(|(customer, account)| Usage {
             customer: *customer,
-            level: memory.level,
-            spent: memory.spent,
+            level: account.level,
+            spent: account.spent,
         });
         Hello {
             held,
-            usage: known.collect(),
-            usage_id: self.telling,
+            usage: usage.collect(),
+            usage_id: self.usage_id,
             floor: self.floor,
             cached: self.sent.iter().copied().collect(),
             backoff,
         }
     }
 
-    /// Remembers what an engine has of a prompt that is sent to it.
+    /// Remembers the shared parts of a prompt that is sent to an engine.
     ///
-    /// A scheduler's picture of the engines ends with it. If its successor began
-    /// with none, it would send requests to other engines than those that have
-    /// kept their prompts, and all of them would be read again.
+    /// A scheduler's knowledge of the engines' caches is lost with the scheduler. Without
+    /// these parts its successor would send requests to engines that have not cached their
+    /// prompts, and all prompts would be prefilled again.
     pub(super) fn remember_sent(&mut self, endpoint: EndpointId, prompt: &Prompt) {
         if prompt.tokens() == 0 {
             return;
@@ -103,101 +119,105 @@
             self.sent.retain(|k| *k != kept);
             self.sent.push_back(kept);
         }
-        while self.sent.len() > SENT {
+        while self.sent.len() > SENT_PARTS_MAX {
             self.sent.pop_front();
         }
     }
 
-    /// Notes that the scheduler has counted what was spent here.
-    ///
-    /// Told again to the next one, it would be counted twice.
-    pub(super) fn hear(&mut self) {
-        if std::mem::replace(&mut self.heard, true) {
+    /// Records that the scheduler has counted the spending of this router, which must not be
+    /// reported to the next scheduler again.
+    pub(super) fn acknowledge(&mut self) {
+        if std::mem::replace(&mut self.is_acknowledged, true) {
             return;
         }
-        self.telling = self.telling.wrapping_add(1);
-        for memory in self.known.values_mut() {
-            memory.level += std::mem::take(&mut memory.spent);
+        self.usage_id = self.usage_id.wrapping_add(1);
+        for account in self.accounts.values_mut() {
+            account.level += std::mem::take(&mut account.spent);
         }
     }
 
-    pub(super) fn new(now: Millis, telling: u64) -> Self {
+    /// A session that is down.
+    pub(super) fn new(now: Millis, usage_id: u64) -> Self {
         Session {
             assignment: None,
             up: false,
             hello_at: None,
             down_since: now,
             up_since: now,
-            next: 0,
+            next_seq: 0,
             asked: BTreeMap::new(),
-            known: BTreeMap::new(),
+            accounts: BTreeMap::new(),
             floor: 0,
-            telling,
-            heard: false,
+            usage_id,
+            is_acknowledged: false,
             routers: 1,
             is_counted: false,
             running: 0,
             busy: 0,
             local: None,
-            turned: BTreeMap::new(),
+            refused: BTreeMap::new(),
             sent: VecDeque::new(),
         }
     }
 
-    /// Whether there is anyone to ask: a scheduler, or this router itself.
+    /// Whether asks can be sent: to a scheduler, or to the local scheduler.
     pub(super) fn can_ask(&self) -> bool {
         self.up || self.local.is_some()
     }
 
-    /// What a choice among shards depends on, for a customer's request.
+    /// State of the shard for the selection of a shard, for a customer's request.
     pub(super) fn state(&self, now: Millis, customer: CustomerId) -> State {
-        let memory = self.known.get(&customer);
+        let account = self.accounts.get(&customer);
         State {
             down_since: (!self.up).then_some(self.down_since),
-            wait_ms: memory.map_or(0, |m| m.wait.ms(now)),
+            wait_ms: account.map_or(0, |a| a.wait.ms(now)),
             is_busy: self.busy >= BUSY_PERCENT,
         }
     }
 
-    /// Notes how many of its engines had something to read, in hundredths.
-    pub(super) fn note_busy(&mut self, percent: u32) {
-        self.busy = (self.busy * (BUSY_MEMORY - 1) + percent) / BUSY_MEMORY;
+    /// Records the percentage of the shard's engines with a prompt to prefill.
+    pub(super) fn record_busy(&mut self, percent: u32) {
+        self.busy = (self.busy * (BUSY_AVERAGE_REQUESTS - 1) + percent) / BUSY_AVERAGE_REQUESTS;
     }
 
-    /// Notes how long a customer's request waited here, or would have, in milliseconds.
-    pub(super) fn note_wait(&mut self, now: Millis, customer: CustomerId, ms: u64) {
-        let memory = self.known.entry(customer).or_default();
-        memory.wait.note(now, ms);
+    /// Records how long a customer's request waited at the shard, or would have waited, in
+    /// milliseconds.
+    pub(super) fn record_wait(&mut self, now: Millis, customer: CustomerId, ms: u64) {
+        let account = self.accounts.entry(customer).or_default();
+        account.wait.record(now, ms);
     }
 
-    /// Time after which a newcomer may come back, in milliseconds, if it is not let in.
-    pub(super) fn turned_away(&self, now: Millis, class: Class) -> Option<u32> {
-        let (until, after_ms) = self.turned.get(&class)?;
+    /// Time after which the caller of a new request may retry, in milliseconds, if requests
+    /// of the class are refused now.
+    pub(super) fn refused_retry_ms(&self, now: Millis, class: Class) -> Option<u32> {
+        let (until, after_ms) = self.refused.get(&class)?;
         (now < *until).then_some(*after_ms)
     }
 
     /// Remembers a refusal of a request with this aim.
     ///
-    /// A scheduler that is asked for several times what its engines can do spends its
-    /// processor on refusals: requests waited 0.5 s for theirs. One that would have waited
-    /// for its whole aim, twice what it may, tells enough of those that come right after it.
-    pub(super) fn note_refusal(
+    /// A scheduler with several times the load that its engines can serve spends its
+    /// processor time on refusals, and requests wait long for theirs. If the refused request
+    /// would have waited for its whole aim, twice what is allowed, requests of the class that
+    /// arrive right after it would be refused as well.
+    pub(super) fn record_refusal(
         &mut self,
         now: Millis,
         class: Class,
         aim_ms: u64,
         refusal: &Refusal,
     ) {
-        self.turned.retain(|_, (until, _)| now < *until);
+        self.refused.retain(|_, (until, _)| now < *until);
         if u64::from(refusal.wait_ms) >= aim_ms {
-            let until = now.after(TURNED_MS);
-            self.turned.insert(class, (until, refusal.after_ms));
+            let until = now.after(REFUSAL_MS);
+            self.refused.insert(class, (until, refusal.after_ms));
         }
     }
 }
 
 impl Dispatcher {
-    pub(super) fn assigned_to(&self, vm: &Name) -> Vec<Shard> {
+    /// Shards whose scheduler runs on a VM.
+    pub(super) fn shards_on(&self, vm: &Name) -> Vec<Shard> {
         (self.sessions.iter())
             .filter(|(_, s)| {
                 s.assignment
@@ -208,6 +228,7 @@
             .collect()
     }
 
+    /// Sends a due hello, and runs the local scheduler while the session is down.
     pub(super) fn tick_session(
         &mut self,
         now: Millis,
@@ -221,8 +242,8 @@
         if session.hello_at.is_some_and(|at| at <= now) {
             session.hello_at = None;
             if (session.assignment.as_ref()).is_some_and(|s| self.links.contains(&s.place.vm)) {
-                self.down(now, shard);
-                self.hello(now, shard, effects);
+                self.end_session(now, shard);
+                self.send_hello(now, shard, effects);
                 return;
             }
         }
@@ -235,38 +256,40 @@
         }
         if let Some((local, _)) = &mut session.local {
             let granted = local.tick(now);
-            self.use_local(now, shard, granted, effects);
+            self.apply_local(now, shard, granted, effects);
         }
     }
 
-    pub(super) fn ensure(&mut self, now: Millis, view: &View, shard: &Shard) {
+    /// Creates the session for a shard, if there is none.
+    pub(super) fn ensure_session(&mut self, now: Millis, view: &View, shard: &Shard) {
         if self.sessions.contains_key(shard) {
             return;
         }
         let mut session = Session::new(now, self.incarnation);
         session.assignment = view.assignment(shard).cloned();
-        // Ask at once: the link may be up already.
+        // Send the hello at once, since the link may be up already.
         session.hello_at = session.assignment.as_ref().map(|_| now);
         self.sessions.insert(shard.clone(), session);
     }
 
-    /// Tells whoever schedules the shard: its scheduler or this dispatcher itself.
-    pub(super) fn tell(
+    /// Sends a report to a shard's scheduler, or to the local scheduler.
+    pub(super) fn report(
         &mut self,
         now: Millis,
         shard: &Shard,
         report: Report,
         effects: &mut Effects,
     ) {
-        self.tell_of(now, shard, None, report, effects);
+        self.report_charged(now, shard, None, report, effects);
     }
 
-    /// Like [`Dispatcher::tell`], of an end whose class and weight are `of`.
-    pub(super) fn tell_of(
+    /// Like [`Dispatcher::report`], for the end of a request with the class and weight
+    /// `charged`.
+    pub(super) fn report_charged(
         &mut self,
         now: Millis,
         shard: &Shard,
-        of: Option<(Class, u32)>,
+        charged: Option<(Class, u32)>,
         report: Report,
         effects: &mut Effects,
     ) {
@@ -277,21 +300,21 @@
             effects.push(Effect::Report(assignment.clone(), report));
             return;
         }
-        if let (Report::Done(_, cost, _), Some((class, weight))) = (&report, of) {
-            // The next scheduler must hear of it.
-            let memory = session.known.entry(class.customer).or_default();
-            memory.spent += virtual_cost(*cost, weight);
+        if let (Report::Done(_, cost, _), Some((class, weight))) = (&report, charged) {
+            // The next scheduler must count this spending.
+            let account = session.accounts.entry(class.customer).or_default();
+            account.spent += virtual_cost(*cost, weight);
         }
         let Some((local, local_session)) = &mut session.local else {
             return;
         };
         let local_session = *local_session;
         let granted = local.take(now, local_session, report);
-        self.use_local(now, shard, granted, effects);
+        self.apply_local(now, shard, granted, effects);
     }
 
-    /// Ends the session of a shard; its asks wait to be asked anew.
-    pub(super) fn down(&mut self, now: Millis, shard: &Shard) {
+    /// Ends the session of a shard; its asks are sent again in the next session.
+    pub(super) fn end_session(&mut self, now: Millis, shard: &Shard) {
         let Some(session) = self.sessions.get_mut(shard) else {
             return;
         };
@@ -317,7 +340,7 @@
         }
     }
 
-    /// Numbers what is in progress anew, for a new session.
+    /// Renumbers the requests in progress for a new session.
     pub(super) fn renumber(&mut self, shard: &Shard) -> Vec<Held> {
         let Some(session) = self.sessions.get_mut(shard) else {
             return Vec::new();
@@ -327,22 +350,23 @@
             let Stage::Held { endpoint, .. } = request.stage else {
                 continue;
             };
-            let seq = Seq(session.next);
-            session.next += 1;
+            let seq = Seq(session.next_seq);
+            session.next_seq += 1;
             request.stage = Stage::Held { seq, endpoint };
-            request.told = request.cost.max(request.arrival.hint);
+            request.reported_cost = request.cost.max(request.arrival.hint);
             held.push(Held {
                 seq,
                 class: request.arrival.class,
                 weight: request.arrival.weight,
                 endpoint,
-                cost: request.told,
+                cost: request.reported_cost,
             });
         }
         held
     }
 
-    pub(super) fn hello(&mut self, now: Millis, shard: &Shard, effects: &mut Effects) {
+    /// Starts a session: sends a hello, then asks for the waiting requests.
+    pub(super) fn send_hello(&mut self, now: Millis, shard: &Shard, effects: &mut Effects) {
         let held = self.renumber(shard);
         let backoff = self.backoffs.remaining(now);
         let Some(session) = self.sessions.get_mut(shard) else {
@@ -353,10 +377,10 @@
         };
         session.up = true;
         session.up_since = now;
-        let hello = Report::Hello(session.introduce(held, backoff));
-        session.heard = false;
+        let hello = Report::Hello(session.build_hello(held, backoff));
+        session.is_acknowledged = false;
         session.hello_at = None;
         effects.push(Effect::Report(assignment, hello));
-        self.announce_all(now, shard, effects);
+        self.send_asks_for_service(now, shard, effects);
     }
 }
