--- a/components/coordination/src/dispatcher/local.rs
+++ b/components/coordination/src/dispatcher/local.rs
@@ -25,7 +25,9 @@
             match effect {
                 LocalEffect::Grant(_, grant) => self.apply_grant(now, shard, grant, effects),
                 LocalEffect::Refuse(_, refusal) => self.apply_refusal(now, shard, refusal, effects),
-                LocalEffect::Ejected(_) | LocalEffect::Restored(_) | LocalEffect::Inquire(_) => {}
+                LocalEffect::Ejected(_)
+                | LocalEffect::Restored(_)
+                | LocalEffect::RequestInventory(_) => {}
             }
         }
     }
@@ -54,7 +56,7 @@
         self.set_local_shares(now, view, shard);
         let session = self.sessions.get_mut(shard);
         if let Some((local, opened)) = session.and_then(|s| s.local.as_mut()) {
-            *opened = local.open(now, None, &hello);
+            *opened = local.open_session(now, None, &hello);
         }
         self.send_asks_for_service(now, shard, effects);
     }
--- a/components/coordination/src/dispatcher/mod.rs
+++ b/components/coordination/src/dispatcher/mod.rs
@@ -452,7 +452,7 @@
         let mut effects = Effects::new();
         self.selector.follow(view);
         let endpoints = view.config.endpoints.iter();
-        let closed = endpoints.filter(|(id, endpoint)| !view.takes_work(**id, endpoint));
+        let closed = endpoints.filter(|(id, endpoint)| !view.accepts_work(**id, endpoint));
         self.closed_endpoints = closed.map(|(id, _)| *id).collect();
         let shards: Vec<Shard> = self.sessions.keys().cloned().collect();
         for shard in shards {
@@ -549,9 +549,9 @@
 pub fn set_engines(slots: &mut Slots, view: &View, shard: &Shard) {
     let service = view.config.services.get(&shard.service);
     let engine = service.and_then(|s| s.engine);
-    slots.set_memory(engine.map(|e| e.memory_tokens));
+    slots.set_memory_tokens(engine.map(|e| e.memory_tokens));
     let rate = engine.and_then(|e| e.copy_tokens_per_s);
-    slots.set_copy_rate(rate.map(u64::from));
+    slots.set_copy_tokens_per_s(rate.map(u64::from));
     slots.set_cold_rate(service.and_then(|s| s.cold).map(|cold| cold.rate));
 }
 
@@ -575,5 +575,5 @@
     let service = view.config.services.get(&shard.service).map(|s| &s.name);
     (view.config.endpoints.iter())
         .filter(move |(id, e)| Some(&e.service) == service && shard.covers(**id, e))
-        .map(|(id, e)| (*id, e.slots, e.lead, !view.takes_work(*id, e)))
+        .map(|(id, e)| (*id, e.slots, e.prefetch, !view.accepts_work(*id, e)))
 }
--- a/components/coordination/src/dispatcher/selection.rs
+++ b/components/coordination/src/dispatcher/selection.rs
@@ -166,7 +166,7 @@
         let copying =
             services.filter(|(_, s)| s.engine.is_some_and(|e| e.copy_tokens_per_s.is_some()));
         self.copying = copying.map(|(id, _)| *id).collect();
-        let counts = view.counts();
+        let counts = view.endpoint_counts();
         for shard in &self.shards {
             let open = open(view, &counts, shard);
             if open == 0 {
@@ -272,7 +272,7 @@
         if order.len() < 2 {
             return order;
         }
-        let (key, tokens) = arrival.prompt.shared();
+        let (key, tokens) = arrival.prompt.shared_prefix();
         let here = order.iter().filter(|c| self.is_local(&c.shard));
         let stays = here.clone().any(|c| !state(&c.shard).is_busy);
         if tokens >= AFFINITY_MIN_TOKENS && !(stays && self.copying.contains(&arrival.service)) {
@@ -331,7 +331,7 @@
             && shard.data_centre.as_ref().is_none_or(is_here)
             && !view.is_evacuated(&count.data_centre)
     };
-    let open: u32 = counts.iter().filter(is_covered).map(|c| c.open).sum();
+    let open: u32 = counts.iter().filter(is_covered).map(|c| c.available).sum();
     let cells = shard.cell.map_or(1, |cell| u32::from(cell.of));
     open.div_ceil(cells.max(1))
 }
--- a/components/coordination/src/dispatcher/session.rs
+++ b/components/coordination/src/dispatcher/session.rs
@@ -8,7 +8,7 @@
 use crate::ledger::virtual_cost;
 use crate::messages::{Cached, Hello, Seq};
 use crate::prelude::*;
-use crate::prompt::UNSHARED;
+use crate::prompt::UNSHARED_KEY;
 use crate::scheduler::{Scheduler, Session as LocalSession};
 use state::view::{Assignment, Shard};
 use std::collections::{BTreeMap, VecDeque};
@@ -114,7 +114,7 @@
         if prompt.tokens() == 0 {
             return;
         }
-        for part in prompt.parts().filter(|p| p.key != UNSHARED) {
+        for part in prompt.parts().filter(|p| p.key != UNSHARED_KEY) {
             let kept = Cached { endpoint, part };
             self.sent.retain(|k| *k != kept);
             self.sent.push_back(kept);
@@ -222,7 +222,7 @@
             .filter(|(_, s)| {
                 s.assignment
                     .as_ref()
-                    .is_some_and(|assignment| assignment.place.vm == *vm)
+                    .is_some_and(|assignment| assignment.node.vm == *vm)
             })
             .map(|(shard, _)| shard.clone())
             .collect()
@@ -241,7 +241,7 @@
         };
         if session.hello_at.is_some_and(|at| at <= now) {
             session.hello_at = None;
-            if (session.assignment.as_ref()).is_some_and(|s| self.links.contains(&s.place.vm)) {
+            if (session.assignment.as_ref()).is_some_and(|s| self.links.contains(&s.node.vm)) {
                 self.end_session(now, shard);
                 self.send_hello(now, shard, effects);
                 return;
@@ -309,7 +309,7 @@
             return;
         };
         let local_session = *local_session;
-        let granted = local.take(now, local_session, report);
+        let granted = local.handle_report(now, local_session, report);
         self.apply_local(now, shard, granted, effects);
     }
 
--- a/components/coordination/src/lib.rs
+++ b/components/coordination/src/lib.rs
@@ -5,12 +5,12 @@
 //! number, so tests can drive every decision.
 
 pub mod admission;
-pub mod agree;
 pub mod assignment;
 pub mod backoff;
 pub mod budget;
 pub mod candidacy;
 pub mod cell;
+pub mod consensus;
 pub mod dispatcher;
 pub mod engine;
 pub mod failback;
@@ -24,7 +24,6 @@
 pub mod platform;
 pub mod prelude;
 pub mod prompt;
-pub mod ramp;
 pub mod recent;
 pub mod regions;
 pub mod reliability;
@@ -33,3 +32,4 @@
 pub mod scheduler;
 pub mod slot;
 pub mod tree;
+pub mod warmup;
--- a/components/coordination/tests/cold.rs
+++ b/components/coordination/tests/cold.rs
@@ -11,16 +11,16 @@
 use coordination::assignment::shards;
 use coordination::dispatcher::{Dispatcher, Effect, LOCAL_AFTER_MS};
 use coordination::failback::Failbacks;
-use coordination::listing::Roster;
+use coordination::listing::Registry;
 use coordination::messages::{Grant, Hello, Seq, Verdict};
 use coordination::prompt::Prompt;
-use coordination::ramp::Ramp;
 use coordination::scheduler::{self, Scheduler};
+use coordination::warmup::Pacer;
 use state::clock::Millis;
 use state::config::{Cold, Engine};
 use state::evacuation::Evacuation;
 use state::id::{EndpointId, Epoch, Version};
-use state::listing::Listed;
+use state::listing::Entry;
 use state::view::View;
 use std::collections::BTreeMap;
 use views::{add, assign, name, view, SERVICE};
@@ -50,7 +50,7 @@
 fn scheduler(epoch: u64, now: Millis, memory: Option<u64>, until: Millis) -> Scheduler {
     let mut scheduler = Scheduler::new(Epoch(epoch), now);
     let slots = scheduler.slots();
-    slots.set_memory(memory);
+    slots.set_memory_tokens(memory);
     slots.set_cold_rate(Some(RATE));
     for id in 1..=3 {
         slots.set(EndpointId(id), 64, 0, false);
@@ -75,7 +75,7 @@
 
 impl Load {
     fn new(mut scheduler: Scheduler, now: Millis) -> Self {
-        let session = scheduler.open(now, None, &Hello::default());
+        let session = scheduler.open_session(now, None, &Hello::default());
         Load {
             scheduler,
             session,
@@ -95,12 +95,15 @@
             let mut effects = self.scheduler.ask(
                 now,
                 self.session,
-                ask(self.next, Prompt::alone(self.tokens, 1), 60_000, 100),
+                ask(self.next, Prompt::unshared(self.tokens, 1), 60_000, 100),
             );
             while let Some(entry) = self.running.first_entry().filter(|e| e.key().0 <= at) {
                 let ((_, seq), sent) = entry.remove_entry();
                 let took_ms = u32::try_from(at - sent).ok();
-                effects.extend(self.scheduler.began(now, self.session, seq, took_ms));
+                effects.extend(
+                    self.scheduler
+                        .note_first_byte(now, self.session, seq, took_ms),
+                );
                 let ended = self
                     .scheduler
                     .done(now, self.session, seq, 100, Verdict::Fine);
@@ -303,8 +306,8 @@
     assert!(late.warm_at.is_empty());
 }
 
-fn listed(text: &str, cold_ms: u32) -> Listed {
-    Listed {
+fn listed(text: &str, cold_ms: u32) -> Entry {
+    Entry {
         cold_ms,
         ..endpoints::listed(text, Some(1), false)
     }
@@ -315,26 +318,26 @@
 #[test]
 fn can_follow_cold_times_without_a_change_at_each_reading() {
     let id = listed("a", 0).id();
-    let mut roster = Roster::default();
-    assert!(roster.read(Millis(0), vec![listed("a", 3000)], 1));
-    assert_eq!(roster.warm_at().get(&id), Some(&Millis(3000)));
-    assert!(!roster.read(Millis(500), vec![listed("a", 2700)], 2));
-    assert_eq!(roster.told(Millis(1000)).endpoints[0].cold_ms, 2000);
-    assert!(roster.read(Millis(1000), vec![listed("a", 3000)], 3));
-    assert_eq!(roster.warm_at().get(&id), Some(&Millis(4000)));
-    let mut other = Roster::default();
-    assert!(other.take(Millis(70), roster.told(Millis(1000))));
+    let mut registry = Registry::default();
+    assert!(registry.apply_reading(Millis(0), vec![listed("a", 3000)], 1));
+    assert_eq!(registry.warm_at().get(&id), Some(&Millis(3000)));
+    assert!(!registry.apply_reading(Millis(500), vec![listed("a", 2700)], 2));
+    assert_eq!(registry.export(Millis(1000)).endpoints[0].cold_ms, 2000);
+    assert!(registry.apply_reading(Millis(1000), vec![listed("a", 3000)], 3));
+    assert_eq!(registry.warm_at().get(&id), Some(&Millis(4000)));
+    let mut other = Registry::default();
+    assert!(other.apply_listing(Millis(70), registry.export(Millis(1000))));
     assert_eq!(other.warm_at().get(&id), Some(&Millis(3070)));
-    assert!(!other.take(Millis(90), roster.told(Millis(1020))));
-    assert!(!roster.read(Millis(5000), vec![listed("a", 0)], 4));
-    assert!(roster.warm_at().is_empty());
-    assert!(roster.read(Millis(6000), vec![listed("a", 3000)], 5));
+    assert!(!other.apply_listing(Millis(90), registry.export(Millis(1020))));
+    assert!(!registry.apply_reading(Millis(5000), vec![listed("a", 0)], 4));
+    assert!(registry.warm_at().is_empty());
+    assert!(registry.apply_reading(Millis(6000), vec![listed("a", 3000)], 5));
 }
 
 /// Guards against a ramp that lets more through after a pause.
 #[test]
 fn can_space_requests_evenly_after_a_pause() {
-    let mut ramp = Ramp::new(Millis(60_000), RATE, Millis(0));
+    let mut ramp = Pacer::new(Millis(60_000), RATE, Millis(0));
     assert!(!ramp.admits(Millis(999)));
     let mut moments = Vec::new();
     for at in (1000..3000).chain(20_000..23_000) {
@@ -345,6 +348,6 @@
     }
     assert!(most(&moments) <= MOST, "{}", most(&moments));
     assert!(moments.len() >= 40, "{}", moments.len());
-    assert!(!Ramp::new(Millis(5000), 0, Millis(0)).admits(Millis(4999)));
-    assert!(Ramp::new(Millis(5000), 0, Millis(0)).admits(Millis(5000)));
+    assert!(!Pacer::new(Millis(5000), 0, Millis(0)).admits(Millis(4999)));
+    assert!(Pacer::new(Millis(5000), 0, Millis(0)).admits(Millis(5000)));
 }
--- a/components/node/src/front/claim.rs
+++ b/components/node/src/frontend/claim.rs
@@ -1,18 +1,18 @@
 //! Idempotency keys: claimed at the control VMs before anything is sent.
 
-use super::listen::Front;
+use super::listen::Frontend;
 use super::refusal::{insert, Refusal, OUTCOME};
 use super::upstream::Call;
 use crate::input::Input;
-use crate::interface::IDENTITY;
+use crate::interface::REQUEST_ID;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Response, StatusCode};
 use protocol::wire::{Query, Reply};
-use state::event::{Event, Step};
+use state::event::{Event, Kind};
 use state::id::{CustomerId, RequestId};
 use state::outcome::Outcome;
-use state::record::{Answer, Known, Stored};
+use state::record::{Answer, Resolution, Stored};
 use state::secret::Hash;
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 
 /// A claimed key. Dropped without word, it reports that nothing is known.
 pub(crate) struct Claim {
-    front: Arc<Front>,
+    frontend: Arc<Frontend>,
     key: Hash,
     request: RequestId,
     /// Whether any byte may have been sent.
@@ -43,7 +43,7 @@
 
 /// Claims the key of a call.
 pub(crate) async fn claim(
-    front: &Arc<Front>,
+    frontend: &Arc<Frontend>,
     call: &Call,
     customer: CustomerId,
     key: &[u8],
@@ -62,7 +62,7 @@
     let fingerprint = Hash::of(&[method, path.as_bytes(), &call.body]);
     let key = Hash::of(&[&customer.0.to_be_bytes(), key]);
     let mut claim = Claim {
-        front: front.clone(),
+        frontend: frontend.clone(),
         key,
         request: call.id,
         sent: false,
@@ -75,14 +75,14 @@
         request: call.id,
     };
     let (sender, mut receiver) = oneshot::channel();
-    let _ = front.parts.reactor.send(Input::Query(query, sender));
+    let _ = frontend.context.reactor.send(Input::Query(query, sender));
     match tokio::time::timeout(wait, &mut receiver).await {
-        Ok(Ok(Reply::Answer(Answer::Fresh))) => {
-            let event = Event::new(Step::Claimed).request(call.id);
-            front.parts.journal.note(event.customer(customer));
+        Ok(Ok(Reply::Answer(Answer::Claimed))) => {
+            let event = Event::new(Kind::Claimed).request(call.id);
+            frontend.context.journal.note(event.customer(customer));
             Ok(Claimed::Ours(claim))
         }
-        Ok(Ok(Reply::Answer(Answer::Taken(first, known)))) => {
+        Ok(Ok(Reply::Answer(Answer::AlreadyClaimed(first, known)))) => {
             claim.settled = true;
             if first != fingerprint {
                 let text = "this Idempotency-Key was used for another request";
@@ -109,16 +109,16 @@
 }
 
 /// What a resend is told of the first request.
-fn earlier(id: RequestId, known: Known) -> Result<Claimed, Refusal> {
+fn earlier(id: RequestId, known: Resolution) -> Result<Claimed, Refusal> {
     let conflict =
         |text: &str| Refusal::unknown(StatusCode::CONFLICT, "idempotency-key-taken", text).after(1);
     match known {
-        Known::Open => Err(conflict("the first request with this key has not ended")),
-        Known::Unknown => Err(conflict("whether the first request has run is not known")),
-        Known::Answered(Stored { body: None, .. }) => Err(conflict(
+        Resolution::Pending => Err(conflict("the first request with this key has not ended")),
+        Resolution::Unknown => Err(conflict("whether the first request has run is not known")),
+        Resolution::Answered(Stored { body: None, .. }) => Err(conflict(
             "the first request was answered; its answer was too long to keep",
         )),
-        Known::Answered(Stored {
+        Resolution::Answered(Stored {
             status,
             content_type,
             body: Some(body),
@@ -128,7 +128,7 @@
             let headers = response.headers_mut();
             insert(headers, "content-type", &content_type);
             insert(headers, OUTCOME, Outcome::Answered.as_str());
-            insert(headers, IDENTITY, &id.to_string());
+            insert(headers, REQUEST_ID, &id.to_string());
             insert(headers, "cowslipford-replayed", "yes");
             Ok(Claimed::Earlier(Box::new(response)))
         }
@@ -156,7 +156,7 @@
         tokio::spawn(async move {
             if let Ok(body) = ended.await {
                 self.settled = true;
-                self.settle(Some(Known::Answered(Stored {
+                self.settle(Some(Resolution::Answered(Stored {
                     status,
                     content_type,
                     body,
@@ -165,14 +165,18 @@
         });
     }
 
-    fn settle(&self, known: Option<Known>) {
+    fn settle(&self, known: Option<Resolution>) {
         let query = Query::Settle {
             key: self.key,
             request: self.request,
             known,
         };
         let (sender, receiver) = oneshot::channel();
-        let _ = self.front.parts.reactor.send(Input::Query(query, sender));
+        let _ = self
+            .frontend
+            .context
+            .reactor
+            .send(Input::Query(query, sender));
         // The query is repeated for as long as its receiver lives.
         tokio::spawn(tokio::time::timeout(SETTLE, receiver));
     }
@@ -181,7 +185,7 @@
 impl Drop for Claim {
     fn drop(&mut self) {
         if !self.settled {
-            self.settle(self.sent.then_some(Known::Unknown));
+            self.settle(self.sent.then_some(Resolution::Unknown));
         }
     }
 }
--- a/components/node/src/front/plan.rs
+++ b/components/node/src/frontend/plan.rs
@@ -1,10 +1,10 @@
 //! Which rule decides a request, and what follows from it.
 
 use super::admit::check_proof;
-use super::listen::Front;
+use super::listen::Frontend;
 use super::refusal::Refusal;
 use super::upstream::Call;
-use crate::interface::Asked;
+use crate::interface::Inbound;
 use crate::shared::Published;
 use bytes::Bytes;
 use coordination::dispatcher::Arrival;
@@ -50,17 +50,23 @@
 
 /// Finds the rule that decides, and what follows from it.
 pub(super) fn plan(
-    front: &Front,
+    frontend: &Frontend,
     published: &Published,
-    asked: &Asked,
+    asked: &Inbound,
     call: &mut Call,
 ) -> Result<Plan, Refusal> {
     let config = &published.view.config;
     let key = asked.key.as_ref();
     let id = key.and_then(|k| published.index.customer(k));
     let known = id.and_then(|id| Some((id, config.customers.get(&id)?)));
-    let decided = decide(front, published, asked, call, known.map(|(_, c)| &c.name));
-    let (place, rule) = decided.map_err(|refusal| doubt(front, published, refusal))?;
+    let decided = decide(
+        frontend,
+        published,
+        asked,
+        call,
+        known.map(|(_, c)| &c.name),
+    );
+    let (place, rule) = decided.map_err(|refusal| doubt(frontend, published, refusal))?;
     let send = match &rule.then {
         Then::Refuse { reason } => {
             let status = StatusCode::FORBIDDEN;
@@ -69,12 +75,12 @@
         Then::Send(send) => send,
     };
     if known.is_none() && !send.anonymous {
-        return Err(doubt(front, published, unknown_customer()));
+        return Err(doubt(frontend, published, unknown_customer()));
     }
     if known.is_some() {
-        check_proof(front, published)?;
+        check_proof(frontend, published)?;
     }
-    let service = send.service(rand::random()).ok_or_else(no_endpoint)?;
+    let service = send.pick_service(rand::random()).ok_or_else(no_endpoint)?;
     if let Some((_, customer)) = known {
         check_service(customer, service)?;
         call.customer = Some(customer.name.clone());
@@ -83,7 +89,7 @@
     let found = found.and_then(|id| Some((id, config.services.get(&id)?)));
     let (service_id, settings) = found.ok_or_else(no_endpoint)?;
     let timeout = Duration::from_millis(send.timeout_ms.unwrap_or(settings.timeout_ms));
-    let timeout = asked.patience.map_or(timeout, |p| p.min(timeout));
+    let timeout = asked.timeout.map_or(timeout, |p| p.min(timeout));
     let prompt = prompt(asked, settings, call);
     let class = Class {
         customer: known.map_or(ANONYMOUS, |(id, _)| id),
@@ -95,7 +101,7 @@
     if regions.is_empty() {
         return Err(no_endpoint());
     }
-    let now = front.parts.clock.now();
+    let now = frontend.context.clock.now();
     let arrival = Arrival {
         service: service_id,
         class,
@@ -103,7 +109,10 @@
         priority: known.and_then(|(_, c)| c.priority).unwrap_or(send.priority),
         rate: send.limits.rate.unwrap_or(0),
         concurrency: send.limits.concurrency.unwrap_or(0),
-        queue: send.limits.queue.unwrap_or(front.parts.queue_customer),
+        queue: send
+            .limits
+            .queue
+            .unwrap_or(frontend.context.customer_queue_limit),
         hint: hint(asked, settings, &prompt),
         prompt,
         bytes: call.body.len() as u64,
@@ -130,15 +139,15 @@
 /// A router that is cut off lacks keys and rules that were added since. Told that
 /// theirs does not exist, callers would give up, though any other router serves
 /// them.
-fn doubt(front: &Front, published: &Published, refusal: Refusal) -> Refusal {
-    check_proof(front, published).err().unwrap_or(refusal)
+fn doubt(frontend: &Frontend, published: &Published, refusal: Refusal) -> Refusal {
+    check_proof(frontend, published).err().unwrap_or(refusal)
 }
 
 /// The rule that decides, or why none does.
 fn decide<'a>(
-    front: &Front,
+    frontend: &Frontend,
     published: &'a Published,
-    asked: &Asked,
+    asked: &Inbound,
     call: &Call,
     customer: Option<&Name>,
 ) -> Result<(u16, &'a Rule), Refusal> {
@@ -154,7 +163,7 @@
         host: host.as_deref(),
         path: call.uri.path(),
         headers: &headers,
-        data_centre: &front.parts.data_centre,
+        data_centre: &frontend.context.data_centre,
         // CAST: `usize` is at most 64 bits on every supported target.
         size: asked.size.map_or(call.body.len() as u64, u64::from),
     };
@@ -196,7 +205,7 @@
 }
 
 /// Expected cost, in units of the service.
-fn hint(asked: &Asked, service: &Service, prompt: &Prompt) -> u32 {
+fn hint(asked: &Inbound, service: &Service, prompt: &Prompt) -> u32 {
     match service.cost {
         Cost::Request => 1,
         Cost::Event | Cost::Time => asked.size.unwrap_or(service.estimate).max(1),
@@ -212,9 +221,9 @@
 
 /// What is known of the prompt; the start of the body stands in for it where the
 /// caller says nothing.
-fn prompt(asked: &Asked, service: &Service, call: &Call) -> Prompt {
-    if asked.prompt.first() == 0 {
-        return Prompt::of_prefix(prefix(&call.body));
+fn prompt(asked: &Inbound, service: &Service, call: &Call) -> Prompt {
+    if asked.prompt.first_key() == 0 {
+        return Prompt::from_prefix_key(prefix(&call.body));
     }
     let mut prompt = asked.prompt;
     if prompt.output == 0 && service.engine.is_some() {
--- a/components/node/src/input.rs
+++ b/components/node/src/input.rs
@@ -1,6 +1,6 @@
 //! What the reactor is told.
 
-use crate::interface::Told;
+use crate::interface::Contents;
 use crate::shared::Status;
 use coordination::backoff::Backoff;
 use coordination::dispatcher::{Arrival, Handle, Rejection};
@@ -8,9 +8,9 @@
 use protocol::wire::{Query, Reply};
 use state::clock::Millis;
 use state::id::{EndpointId, Name};
-use state::listing::Listed;
-use state::suspect::{Clearance, Crash};
-use state::view::{Place, Step, View};
+use state::listing::Entry;
+use state::suspect::{Completion, Crash};
+use state::view::{Node, Step, View};
 use std::net::SocketAddr;
 use tokio::sync::oneshot;
 use transport::link;
@@ -38,7 +38,7 @@
     /// It cannot be served in time.
     Refused(Refusal),
     /// No endpoint takes work for it.
-    Unserved,
+    NoEndpoint,
     /// Its deadline has passed.
     Expired,
 }
@@ -52,7 +52,7 @@
     /// When it began.
     pub(crate) began: Millis,
     /// The entries.
-    pub(crate) endpoints: Vec<Listed>,
+    pub(crate) endpoints: Vec<Entry>,
     /// Whether it has all pages.
     pub(crate) is_whole: bool,
 }
@@ -78,12 +78,12 @@
         oneshot::Sender<Result<(Handle, Decided), Rejection>>,
     ),
     /// A waiting request's caller has gone.
-    Leave(Handle),
+    Cancel(Handle),
     /// A request failed and is to be queued again.
-    Again(Handle, Verdict, oneshot::Sender<Decided>),
+    Requeue(Handle, Verdict, oneshot::Sender<Decided>),
     /// The first byte of an answer has come, this many milliseconds after its dispatch;
     /// `None` if tasks ran late meanwhile.
-    Began(Handle, Option<u32>),
+    FirstByte(Handle, Option<u32>),
     /// A request has cost this much so far.
     Progress(Handle, u32),
     /// A request has ended.
@@ -93,7 +93,7 @@
     /// An endpoint broke off a request.
     Crashed(Crash),
     /// An endpoint has answered a suspected request whole.
-    Cleared(Clearance),
+    Cleared(Completion),
     /// Something for the control VMs.
     Query(Query, oneshot::Sender<Reply>),
     /// An endpoint reported its load.
@@ -108,15 +108,15 @@
     Leads(bool),
     /// The control VMs, voting or not, as the control role of this process knows
     /// them.
-    Members(Vec<Place>),
+    Members(Vec<Node>),
     /// The settings name other control VMs.
-    Seeds(Vec<Place>),
+    Seeds(Vec<Node>),
     /// Is this process to read the platform's list of endpoints now? Answered with the time.
     ListingDue(oneshot::Sender<Option<Millis>>),
     /// What it has read.
     ListingRead(Reading),
     /// What an engine has kept; nothing if it did not tell.
-    Inventory(EndpointId, Told),
+    Inventory(EndpointId, Contents),
     /// Which endpoints are scheduled here, and where do they report their load?
     Watched(oneshot::Sender<Vec<Watched>>),
     /// What is the state?
--- a/components/node/src/schedulers.rs
+++ b/components/node/src/schedulers.rs
@@ -1,10 +1,10 @@
 //! The schedulers that this VM runs.
 
 use crate::batch::Batch;
-use crate::interface::Told;
+use crate::interface::Contents;
 use crate::inventory::Unknown;
 use crate::journal::Journal;
-use crate::metric::{value, Metrics};
+use crate::metric::{gauge_value, Metrics};
 use crate::shared::ShardStatus;
 use coordination::assignment;
 use coordination::dispatcher::{endpoints, set_cold, set_engines};
@@ -12,7 +12,7 @@
 use coordination::scheduler::{Effect, Effects, Scheduler, Session};
 use state::clock::Millis;
 use state::config::Endpoint;
-use state::event::{Event, Step};
+use state::event::{Event, Kind};
 use state::id::{EndpointId, Epoch, Name};
 use state::line::Line;
 use state::view::{Assignment, Shard, View};
@@ -62,7 +62,7 @@
     /// Starts and ends schedulers as the view says.
     pub(crate) fn follow(&mut self, now: Millis, view: &View, batch: &mut Batch) {
         let current = assignment::shards(view);
-        let is_mine = |a: &&Assignment| a.place.vm == self.me && current.contains(&a.shard);
+        let is_mine = |a: &&Assignment| a.node.vm == self.me && current.contains(&a.shard);
         let assignments = || view.assignments.iter().filter(is_mine);
         let over: Vec<Epoch> = (self.all.keys())
             .filter(|epoch| !assignments().any(|s| s.epoch == **epoch))
@@ -78,17 +78,17 @@
             .collect();
         for epoch in over {
             if let Some(assigned) = self.all.remove(&epoch) {
-                let event = Event::new(Step::SchedulerEnded).service(assigned.shard.service);
+                let event = Event::new(Kind::SchedulerEnded).service(assigned.shard.service);
                 self.journal.note(event.epoch(epoch));
             }
         }
         for (epoch, shard) in begun {
-            let event = Event::new(Step::SchedulerBegan).service(shard.service);
+            let event = Event::new(Kind::SchedulerBegan).service(shard.service);
             self.journal.note(event.epoch(epoch));
             let mut scheduler = Scheduler::new(epoch, now);
-            scheduler.batch();
+            scheduler.enable_batching();
             if self.inquiries.is_some() {
-                scheduler.allow_inquiry();
+                scheduler.enable_inventory_requests();
             }
             let assigned = Assigned {
                 shard,
@@ -121,7 +121,7 @@
             set_cold(slots, now, view, |_| 0);
             slots.retain_foreign(|id| {
                 let endpoint = view.config.endpoints.get(&id);
-                endpoint.is_some_and(|endpoint| view.takes_work(id, endpoint))
+                endpoint.is_some_and(|endpoint| view.accepts_work(id, endpoint))
             });
         }
         self.tick(now, batch);
@@ -162,7 +162,7 @@
         for assigned in self.all.values_mut() {
             // It stays known by its router, whose next hello settles its requests.
             if let Some(session) = assigned.sessions.get(vm) {
-                assigned.scheduler.close(now, *session);
+                assigned.scheduler.close_session(now, *session);
             }
         }
     }
@@ -178,7 +178,7 @@
             if others.is_empty() {
                 continue;
             }
-            let served = assigned.scheduler.tell_served();
+            let served = assigned.scheduler.take_served();
             all.extend(others.into_iter().map(|to| (to.clone(), served.clone())));
         }
         all
@@ -189,7 +189,7 @@
     pub(crate) fn kept(&mut self, view: &View) -> Vec<(Assignment, Vec<Cached>)> {
         let mut all = Vec::new();
         for assigned in self.all.values_mut() {
-            let fresh = assigned.scheduler.tell_kept();
+            let fresh = assigned.scheduler.take_new_cached();
             if view.is_partial() {
                 // Others do not know where these engines are.
                 continue;
@@ -205,7 +205,7 @@
                 .retain(|e| others.iter().any(|a| a.epoch == *e));
             for to in others {
                 let kept = match assigned.told.insert(to.epoch) {
-                    true => assigned.scheduler.all_kept(),
+                    true => assigned.scheduler.all_cached(),
                     false => fresh.clone(),
                 };
                 if !kept.is_empty() {
@@ -225,8 +225,8 @@
                 other.service == shard.service && other.region == shard.region && other != shard
             };
             let mut others = view.assignments.iter().filter(is_other);
-            if others.any(|a| a.place.vm == *from) {
-                assigned.scheduler.hear_kept(kept);
+            if others.any(|a| a.node.vm == *from) {
+                assigned.scheduler.merge_cached(kept);
             }
         }
     }
@@ -239,7 +239,7 @@
         for assigned in self.all.values_mut() {
             let other = assigned.shard != assignment.shard;
             if other && assigned.shard.service == assignment.shard.service {
-                assigned.scheduler.hear_served(served);
+                assigned.scheduler.merge_served(served);
             }
         }
     }
@@ -252,7 +252,7 @@
     /// Takes an endpoint's load report.
     pub(crate) fn load(&mut self, now: Millis, endpoint: EndpointId, load: u32) {
         for assigned in self.all.values_mut() {
-            assigned.scheduler.slots().report(now, endpoint, load);
+            assigned.scheduler.slots().report_load(now, endpoint, load);
         }
     }
 
@@ -261,14 +261,15 @@
         &mut self,
         now: Millis,
         endpoint: EndpointId,
-        told: &Told,
+        told: &Contents,
         batch: &mut Batch,
     ) {
         for assigned in self.all.values_mut() {
             if assigned.endpoints.contains_key(&endpoint) {
-                let effects = assigned
-                    .scheduler
-                    .learn(now, endpoint, told.born, &told.parts);
+                let effects =
+                    assigned
+                        .scheduler
+                        .note_inventory(now, endpoint, told.born, &told.parts);
                 assigned.act(effects, batch, &self.journal, &self.metrics);
             }
         }
@@ -317,7 +318,7 @@
     /// Logs what each scheduler has given to whom, while work waits there.
     fn tell_shares(&mut self, view: &View) {
         for (epoch, assigned) in &mut self.all {
-            let shares = assigned.scheduler.take_shares();
+            let shares = assigned.scheduler.take_usage();
             if assigned.scheduler.waiting() == 0 {
                 continue;
             }
@@ -340,22 +341,22 @@
     /// Logs what each scheduler believes.
     fn tell_beliefs(&self, view: &View) {
         for (epoch, assigned) in &self.all {
-            let belief = assigned.scheduler.belief();
+            let summary = assigned.scheduler.summary();
             tracing::info!(
                 event = Line::SchedulerState.as_str(),
                 service = view.config.service_name(assigned.shard.service),
                 region = assigned.shard.region.as_str(),
                 data_centre = assigned.shard.data_centre.as_ref().map(Name::as_str),
                 epoch = epoch.0,
-                waiting = belief.waiting,
-                running = belief.running,
-                customers = belief.customers,
-                unread = belief.unread,
-                slowest = belief.slowest,
-                fastest = belief.fastest,
-                pace = belief.pace,
-                refused = belief.refused,
-                granted = belief.granted,
+                waiting = summary.waiting,
+                running = summary.running,
+                customers = summary.customers,
+                unread = summary.unread_tokens,
+                slowest = summary.slowest_tokens_per_s,
+                fastest = summary.fastest_tokens_per_s,
+                pace = summary.cost_per_s,
+                refused = summary.refused,
+                granted = summary.granted,
             );
         }
     }
@@ -374,16 +375,16 @@
                     .with_label_values(&[service, region, what]);
                 gauge.set(number);
             };
-            set("slots", value(status.slots));
-            set("running", value(status.running));
-            set("waiting", value(status.waiting));
-            set("routers", value(status.routers));
+            set("slots", gauge_value(status.slots));
+            set("running", gauge_value(status.running));
+            set("waiting", gauge_value(status.waiting));
+            set("routers", gauge_value(status.routers));
             for (customer, level) in &status.levels {
                 let labels = [service, region, customer.as_str()];
                 self.metrics
                     .service
                     .with_label_values(&labels)
-                    .set(value(*level));
+                    .set(gauge_value(*level));
             }
         }
     }
@@ -393,7 +394,7 @@
     fn report(&mut self, now: Millis, vm: &Name, report: Report, metrics: &Metrics) -> Effects {
         let session = self.sessions.get(vm).copied();
         if let Report::Hello(hello) = report {
-            let opened = self.scheduler.open(now, session, &hello);
+            let opened = self.scheduler.open_session(now, session, &hello);
             self.sessions.insert(vm.clone(), opened);
             if let Some(older) = session {
                 self.routers.remove(&older);
@@ -408,7 +409,7 @@
         if matches!(report, Report::Return(_)) {
             metrics.returns.inc();
         }
-        self.scheduler.take(now, session, report)
+        self.scheduler.handle_report(now, session, report)
     }
 
     /// Logs a change of an endpoint's health.
@@ -445,7 +446,7 @@
                         batch.refuse(vm, refusal);
                     }
                 }
-                Effect::Inquire(endpoint) => {
+                Effect::RequestInventory(endpoint) => {
                     let address = self.endpoints.get(&endpoint).map(|e| e.address);
                     let unknown = address.map(|address| Unknown { endpoint, address });
                     if let (Some(unknown), Some(inquiries)) = (unknown, &self.inquiries) {
@@ -455,11 +456,11 @@
                 }
                 Effect::Ejected(endpoint) => {
                     self.tell(Line::EndpointEjected, endpoint);
-                    journal.note(Event::new(Step::Ejected).endpoint(endpoint));
+                    journal.note(Event::new(Kind::Ejected).endpoint(endpoint));
                 }
                 Effect::Restored(endpoint) => {
                     self.tell(Line::EndpointRestored, endpoint);
-                    journal.note(Event::new(Step::Restored).endpoint(endpoint));
+                    journal.note(Event::new(Kind::Restored).endpoint(endpoint));
                 }
             }
         }
