--- a/components/coordination/tests/candidacy.rs
+++ b/components/coordination/tests/candidacy.rs
@@ -1,4 +1,4 @@
-//! Which VMs stand as candidates for a scheduler.
+//! Which VMs are candidates to run schedulers.
 
 mod views;
 
@@ -8,17 +8,17 @@
 use std::collections::BTreeSet;
 
 fn all(count: u64) -> Vec<Candidacy> {
-    let lives = (1..=count).map(|n| n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-    lives.map(Candidacy::new).collect()
+    let incarnations = (1..=count).map(|n| n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+    incarnations.map(Candidacy::new).collect()
 }
 
-/// How many of all stand.
-fn standing(all: &mut [Candidacy], now: u64, known: Status) -> usize {
-    let stand = all.iter_mut().map(|c| c.is_candidate(Millis(now), known));
-    stand.filter(|stands| *stands).count()
+/// Number of candidates among all VMs.
+fn candidates(all: &mut [Candidacy], now: u64, status: Status) -> usize {
+    let each = all.iter_mut().map(|c| c.is_candidate(Millis(now), status));
+    each.filter(|is_candidate| *is_candidate).count()
 }
 
-fn known(routers: Option<u32>, is_unscheduled: bool) -> Status {
+fn status(routers: Option<u32>, is_unscheduled: bool) -> Status {
     Status {
         is_assigned: false,
         is_unscheduled,
@@ -27,36 +27,37 @@
     }
 }
 
-/// Guards against control VMs that receive heartbeats of the whole fleet.
+/// Guards against control VMs that receive heartbeats from the whole fleet.
 #[test]
-fn a_bounded_number_stands_however_many_there_are() {
+fn the_number_of_candidates_is_bounded_in_a_large_fleet() {
     for count in [86, 300, 3000] {
         let mut all = all(u64::from(count));
-        let stand = standing(&mut all, 0, known(Some(count), false));
-        assert!((10..=48).contains(&stand), "{stand} of {count}");
+        let found = candidates(&mut all, 0, status(Some(count), false));
+        assert!((10..=48).contains(&found), "{found} of {count}");
     }
-    // Where there are few, all of them do.
-    assert_eq!(standing(&mut all(8), 0, known(Some(8), false)), 8);
+    // In a small fleet every VM is a candidate.
+    assert_eq!(candidates(&mut all(8), 0, status(Some(8), false)), 8);
 }
 
-/// Guards against a shard for which nobody stands, since those drawn by lot are lost.
+/// Guards against a shard without candidates after the VMs selected by hash are lost, and
+/// against all other VMs volunteering at once.
 #[test]
-fn those_that_wait_come_to_stand_one_after_the_other() {
+fn other_vms_volunteer_one_after_the_other_without_a_scheduler() {
     let mut all = all(300);
-    let drawn = standing(&mut all, 0, known(Some(300), false));
-    let first = standing(&mut all, 100, known(Some(300), true));
-    let soon = standing(&mut all, 200, known(Some(300), true));
+    let selected = candidates(&mut all, 0, status(Some(300), false));
+    let first = candidates(&mut all, 100, status(Some(300), true));
+    let soon = candidates(&mut all, 200, status(Some(300), true));
     assert!(
-        first - drawn < 5 && soon - drawn < 60,
-        "{drawn} {first} {soon}"
+        first - selected < 5 && soon - selected < 60,
+        "{selected} {first} {soon}"
     );
-    assert_eq!(standing(&mut all, 1700, known(Some(300), true)), 300);
+    assert_eq!(candidates(&mut all, 1700, status(Some(300), true)), 300);
 }
 
-/// Guards against a fleet that has just begun and gives all shards to the few that stand
-/// first, or to VMs in another data centre.
+/// Guards against a fleet that assigns all shards to its first few candidates after a start,
+/// or to VMs in another data centre.
 #[test]
-fn each_shard_gets_a_scheduler_of_its_own_at_home() {
+fn each_shard_gets_its_own_scheduler_in_its_data_centre() {
     let mut view = views::view(None);
     for n in 0..36 {
         views::add(&mut view, n, &format!("dc-{}", n % 3), 4);
@@ -69,9 +70,9 @@
     for tick in 0..200 {
         let now = Millis(tick * 20);
         for (n, candidate) in all.iter_mut().enumerate() {
-            // The leader has settled long before the list of endpoints is read.
+            // The leader has been elected long before the list of endpoints is read.
             let is_listed = tick >= 100;
-            if candidate.is_candidate(now, known(None, is_listed)) {
+            if candidate.is_candidate(now, status(None, is_listed)) {
                 let site = Site {
                     node: views::place(&format!("r-{n}")),
                     region: views::name("main"),
@@ -92,17 +93,17 @@
     }
 }
 
-/// Guards against a VM that schedules and is taken for lost, and against links that open and
-/// close with each change.
+/// Guards against a scheduling VM that stops its heartbeats and is considered lost, and
+/// against links that open and close with each change.
 #[test]
-fn one_that_schedules_stands_and_goes_on_for_a_while() {
-    let mut one = all(3000).remove(7);
+fn a_scheduling_vm_stays_a_candidate_for_a_while_after_its_assignment() {
+    let mut vm = all(3000).remove(7);
     let assigned = Status {
         is_assigned: true,
-        ..known(Some(3000), false)
+        ..status(Some(3000), false)
     };
-    assert!(!one.is_candidate(Millis(0), known(Some(3000), false)));
-    assert!(one.is_candidate(Millis(10), assigned));
-    assert!(one.is_candidate(Millis(5000), known(Some(3000), false)));
-    assert!(!one.is_candidate(Millis(20_000), known(Some(3000), false)));
+    assert!(!vm.is_candidate(Millis(0), status(Some(3000), false)));
+    assert!(vm.is_candidate(Millis(10), assigned));
+    assert!(vm.is_candidate(Millis(5000), status(Some(3000), false)));
+    assert!(!vm.is_candidate(Millis(20_000), status(Some(3000), false)));
 }
--- a/components/coordination/tests/evacuation.rs
+++ b/components/coordination/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Requests of a router beside data centres that are evacuated.
+//! How a router handles requests while data centres are evacuated.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
 mod arrivals;
@@ -15,20 +15,21 @@
 use views::{add, assign, name, view, SERVICE};
 
 const EPOCH: Epoch = Epoch(1);
-const HERE: EndpointId = EndpointId(1);
-const THERE: EndpointId = EndpointId(2);
+const LOCAL_ENDPOINT: EndpointId = EndpointId(1);
+const REMOTE_ENDPOINT: EndpointId = EndpointId(2);
 
-/// A view with an endpoint in each of two data centres, and a scheduler.
-fn two() -> View {
+/// A view with an endpoint in each of two data centres, and one scheduler.
+fn view_of_two() -> View {
     let mut view = view(None);
-    add(&mut view, HERE.0, "dc-1", 4);
-    add(&mut view, THERE.0, "dc-2", 4);
+    add(&mut view, LOCAL_ENDPOINT.0, "dc-1", 4);
+    add(&mut view, REMOTE_ENDPOINT.0, "dc-2", 4);
     let all = shards(&view);
     assign(&mut view, all, 1);
     view
 }
 
-fn order(view: &mut View, data_centre: &str, is_in_force: bool) {
+/// Starts or ends the evacuation of a data centre.
+fn set_evacuated(view: &mut View, data_centre: &str, is_in_force: bool) {
     let evacuation = Evacuation {
         is_in_force,
         version: Version(1),
@@ -62,8 +63,8 @@
     reports.any(|e| matches!(e, Effect::Report(_, Report::Return(of)) if *of == seq))
 }
 
-/// A dispatcher with a session and a request that it has asked for.
-fn waiting(view: &View) -> (Dispatcher, Handle, Seq) {
+/// A dispatcher with a session and one request whose ask is unanswered.
+fn with_ask(view: &View) -> (Dispatcher, Handle, Seq) {
     let mut dispatcher = dispatcher();
     dispatcher.follow(Millis(0), view);
     let (handle, mut effects) = dispatcher
@@ -74,72 +75,76 @@
     (dispatcher, handle, seq)
 }
 
-/// Guards against a grant that a scheduler gave before it heard of the evacuation.
+/// Guards against using a grant that a scheduler gave before it learned of the evacuation.
 #[test]
-fn can_give_back_a_grant_of_an_evacuated_data_centre() {
-    let mut view = two();
-    let (mut dispatcher, _, seq) = waiting(&view);
-    order(&mut view, "dc-2", true);
+fn can_return_a_grant_of_an_evacuated_data_centre() {
+    let mut view = view_of_two();
+    let (mut dispatcher, _, seq) = with_ask(&view);
+    set_evacuated(&mut view, "dc-2", true);
     dispatcher.follow(Millis(2), &view);
-    let effects = dispatcher.grant(Millis(3), grant(EPOCH, seq, THERE));
+    let effects = dispatcher.grant(Millis(3), grant(EPOCH, seq, REMOTE_ENDPOINT));
     assert_eq!(sent(&effects), None);
     assert!(is_returned(&effects, seq));
-    let again = asked(&effects).expect("it is asked for anew");
-    let effects = dispatcher.grant(Millis(4), grant(EPOCH, again, HERE));
-    assert_eq!(sent(&effects), Some(HERE));
+    let again = asked(&effects).expect("the request is asked for again");
+    let effects = dispatcher.grant(Millis(4), grant(EPOCH, again, LOCAL_ENDPOINT));
+    assert_eq!(sent(&effects), Some(LOCAL_ENDPOINT));
 }
 
-/// Guards against a router without a scheduler that shares out an evacuated data centre.
+/// Guards against a router without a scheduler that uses its share of slots in an evacuated
+/// data centre.
 #[test]
-fn can_pass_over_an_evacuated_data_centre_without_a_scheduler() {
-    let mut view = two();
+fn can_skip_an_evacuated_data_centre_without_a_scheduler() {
+    let mut view = view_of_two();
     let mut dispatcher = dispatcher();
     dispatcher.link_down(Millis(0), &name("s-0"));
-    order(&mut view, "dc-2", true);
+    set_evacuated(&mut view, "dc-2", true);
     dispatcher.follow(Millis(0), &view);
-    let mut to = Vec::new();
+    let mut used = Vec::new();
     for n in 0..6 {
         let now = Millis(LOCAL_AFTER_MS + n);
         let arrived = dispatcher.arrive(Millis(0), &view, arrival(SERVICE));
         let (_, effects) = arrived.unwrap();
-        to.extend(sent(&effects));
-        to.extend(sent(&dispatcher.tick(now, &view)));
+        used.extend(sent(&effects));
+        used.extend(sent(&dispatcher.tick(now, &view)));
     }
-    assert!(!to.is_empty());
-    assert!(to.iter().all(|endpoint| *endpoint == HERE), "{to:?}");
+    assert!(!used.is_empty());
+    assert!(
+        used.iter().all(|endpoint| *endpoint == LOCAL_ENDPOINT),
+        "{used:?}"
+    );
 }
 
-/// Guards against requests that wait for their deadline where nothing may serve them.
+/// Guards against requests that wait until their deadline although no endpoint may serve them.
 #[test]
-fn can_refuse_at_once_what_no_data_centre_may_serve() {
-    let mut view = two();
-    let (mut dispatcher, handle, _) = waiting(&view);
-    order(&mut view, "dc-1", true);
-    order(&mut view, "dc-2", true);
+fn can_refuse_requests_at_once_while_all_data_centres_are_evacuated() {
+    let mut view = view_of_two();
+    let (mut dispatcher, handle, _) = with_ask(&view);
+    set_evacuated(&mut view, "dc-1", true);
+    set_evacuated(&mut view, "dc-2", true);
     let effects = dispatcher.follow(Millis(2), &view);
     assert!(effects.contains(&Effect::Unserved(handle)), "{effects:?}");
     let newcomer = dispatcher.arrive(Millis(3), &view, arrival(SERVICE));
     assert_eq!(newcomer.err(), Some(Rejection::NoEndpoint));
-    order(&mut view, "dc-1", false);
+    set_evacuated(&mut view, "dc-1", false);
     dispatcher.follow(Millis(4), &view);
     assert!(dispatcher
         .arrive(Millis(5), &view, arrival(SERVICE))
         .is_ok());
 }
 
-/// Guards against a request that waits for ever since its try failed during the evacuation.
+/// Guards against a request that waits forever because its try failed during the evacuation.
 #[test]
-fn can_refuse_a_retry_that_no_data_centre_may_serve() {
-    let mut view = two();
-    let (mut dispatcher, handle, seq) = waiting(&view);
-    let effects = dispatcher.grant(Millis(2), grant(EPOCH, seq, THERE));
-    assert_eq!(sent(&effects), Some(THERE));
-    order(&mut view, "dc-1", true);
-    order(&mut view, "dc-2", true);
+fn can_refuse_a_retry_while_all_data_centres_are_evacuated() {
+    let mut view = view_of_two();
+    let (mut dispatcher, handle, seq) = with_ask(&view);
+    let effects = dispatcher.grant(Millis(2), grant(EPOCH, seq, REMOTE_ENDPOINT));
+    assert_eq!(sent(&effects), Some(REMOTE_ENDPOINT));
+    set_evacuated(&mut view, "dc-1", true);
+    set_evacuated(&mut view, "dc-2", true);
     let effects = dispatcher.follow(Millis(3), &view);
     assert!(
         !effects.contains(&Effect::Unserved(handle)),
-        "it is in progress"
+        "the request is in progress"
     );
     dispatcher.requeue(Millis(4), handle, Verdict::Failed);
     let effects = dispatcher.tick(Millis(5), &view);
--- a/components/coordination/tests/regions.rs
+++ b/components/coordination/tests/regions.rs
@@ -1,4 +1,4 @@
-//! Requests that may be served in some regions only.
+//! Requests that may be served only in some regions.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
 mod arrivals;
@@ -19,8 +19,8 @@
 
 const REGIONS: [&str; 3] = ["east", "north", "west"];
 
-/// A view with an endpoint and a scheduler in each of three regions, in that order.
-fn three() -> View {
+/// A view with an endpoint and a scheduler in each of the three regions, in that order.
+fn view_of_three() -> View {
     let mut view = view(None);
     for (id, region) in (1..).zip(REGIONS) {
         add(&mut view, id, &format!("{region}-1"), 4);
@@ -37,7 +37,7 @@
     Regions::named(&names)
 }
 
-/// A router in a region with links to all schedulers.
+/// A router in `region` with links to all schedulers.
 fn router(view: &View, region: &str) -> Dispatcher {
     let mut dispatcher = arrivals::dispatcher(name(region), name(&format!("{region}-1")), 7);
     for n in 0..REGIONS.len() {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Asks, with the region whose scheduler they go to.
+/// Asks, each with the region of the scheduler that receives it.
 fn asks(effects: &[Effect]) -> Vec<(String, Ask)> {
     let each = effects.iter().filter_map(|e| match e {
         Effect::Report(to, Report::Ask(ask)) => Some((to.shard.region.to_string(), *ask)),
@@ -76,24 +76,28 @@
     (handle, effects)
 }
 
-/// Guards against a request that is served in a region that is not one of its homes.
+/// Guards against a request that is served in a region that is not allowed for it.
 #[rstest]
-#[case::at_home("east", &[], "east")]
-#[case::its_only_home_is_elsewhere("east", &["west"], "west")]
-#[case::at_home_of_two("west", &["east", "west"], "west")]
-#[case::neither_home_is_here("north", &["east", "west"], "east")]
-fn can_ask_in_a_home_alone(#[case] router_in: &str, #[case] of: &[&str], #[case] asked_in: &str) {
-    let view = three();
+#[case::all_regions("east", &[], "east")]
+#[case::only_another_region("east", &["west"], "west")]
+#[case::own_region_of_two("west", &["east", "west"], "west")]
+#[case::two_other_regions("north", &["east", "west"], "east")]
+fn can_ask_only_in_allowed_regions(
+    #[case] router_in: &str,
+    #[case] allowed: &[&str],
+    #[case] asked_in: &str,
+) {
+    let view = view_of_three();
     let mut router = router(&view, router_in);
-    let (_, effects) = arrive(&mut router, &view, region_set(of));
+    let (_, effects) = arrive(&mut router, &view, region_set(allowed));
     assert_eq!(asked_regions(&effects), [asked_in]);
 }
 
-/// Guards against an ask in another region, beside the one at home, of a request that waits
-/// long.
+/// Guards against the second ask of a request that waits long going to a region that is not
+/// allowed.
 #[test]
-fn can_keep_a_request_that_waits_in_its_homes() {
-    let view = three();
+fn can_keep_a_waiting_request_in_its_regions() {
+    let view = view_of_three();
     let mut router = router(&view, "east");
     arrive(&mut router, &view, region_set(&["east"]));
     for n in 0..40 {
@@ -108,10 +112,11 @@
     assert_eq!(asked, ["east", "north"]);
 }
 
-/// Guards against a retry, or a refused request, that is asked for in another region.
+/// Guards against a retried or refused request that is asked for in a region that is not
+/// allowed.
 #[test]
-fn can_keep_a_request_that_comes_back_in_its_homes() {
-    let view = three();
+fn can_keep_a_retried_request_in_its_regions() {
+    let view = view_of_three();
     let mut router = router(&view, "east");
     let (handle, effects) = arrive(&mut router, &view, region_set(&["west"]));
     let (_, ask) = asks(&effects)[0].clone();
@@ -138,11 +143,11 @@
     assert!(matches!(effects[..], [Effect::Refuse(..)]), "{effects:?}");
 }
 
-/// Guards against a request that moves to another region since its homes have lost all
-/// their endpoints, or that waits for them until its deadline.
+/// Guards against a request that moves to another region, or waits until its deadline, when
+/// its regions have lost all their endpoints.
 #[test]
-fn can_refuse_a_request_whose_homes_have_nothing_left() {
-    let mut view = three();
+fn can_refuse_a_request_whose_regions_have_no_endpoint_left() {
+    let mut view = view_of_three();
     let mut router = router(&view, "east");
     let (handle, _) = arrive(&mut router, &view, region_set(&["west"]));
     view.leaving.insert(EndpointId(3));
@@ -155,10 +160,10 @@
     assert!(other.is_ok());
 }
 
-/// Guards against a router without schedulers that serves a request outside of its homes.
+/// Guards against a router without schedulers that serves a request outside its regions.
 #[test]
-fn can_keep_to_homes_without_a_scheduler() {
-    let view = three();
+fn can_keep_to_allowed_regions_without_a_scheduler() {
+    let view = view_of_three();
     let mut router = router(&view, "east");
     for n in 0..REGIONS.len() {
         router.link_down(Millis(0), &name(&format!("s-{n}")));
@@ -176,9 +181,9 @@
     );
 }
 
-/// Guards against two sets of homes of which only one counts.
+/// Guards against ignoring the regions of either the rule or the customer.
 #[test]
-fn can_combine_the_homes_of_a_rule_and_of_a_customer() {
+fn can_intersect_the_regions_of_a_rule_and_of_a_customer() {
     let both = region_set(&["east", "west"]).intersection(region_set(&["west", "north"]));
     let allowed: Vec<&str> = REGIONS
         .into_iter()
