--- a/components/coordination/tests/backoff.rs
+++ b/components/coordination/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Endpoints that want no requests of a router.
+//! Endpoints that ask a router to send no requests for a while.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
 mod views;
@@ -25,7 +25,7 @@
     rule: 0,
 };
 
-fn rest(endpoint: EndpointId, ms: u64) -> Backoff {
+fn pause(endpoint: EndpointId, ms: u64) -> Backoff {
     Backoff::pausing(endpoint, Duration::from_millis(ms))
 }
 
@@ -71,7 +71,7 @@
 }
 
 fn dispatcher(view: &View) -> Dispatcher {
-    let home = Location {
+    let location = Location {
         region: name("main"),
         data_centre: name("dc"),
         incarnation: 7,
@@ -80,13 +80,13 @@
         requests: 100,
         bytes: 10_000,
     };
-    let mut dispatcher = Dispatcher::new(home, bounds);
+    let mut dispatcher = Dispatcher::new(location, bounds);
     dispatcher.link_up(Millis(0), &name("s-0"));
     dispatcher.follow(Millis(0), view);
     dispatcher
 }
 
-/// A request that has been asked for.
+/// Queues a request and returns its ask.
 fn arrive(dispatcher: &mut Dispatcher, view: &View, aim_ms: u64) -> (Handle, Seq) {
     let (handle, mut effects) = dispatcher.arrive(Millis(0), view, arrival(aim_ms)).unwrap();
     effects.extend(dispatcher.tick(Millis(0), view));
@@ -129,72 +129,72 @@
 }
 
 #[rstest]
-#[case::later_word_is_shorter(3000, 1000, 3000)]
-#[case::later_word_is_longer(1000, 3000, 3000)]
-#[case::nothing(0, 0, 0)]
-#[case::without_end(u64::MAX, 1, u64::from(BACKOFF_MAX_MS))]
-fn can_keep_the_longer_of_two_words(#[case] first: u64, #[case] second: u64, #[case] ends: u64) {
+#[case::later_backoff_is_shorter(3000, 1000, 3000)]
+#[case::later_backoff_is_longer(1000, 3000, 3000)]
+#[case::no_time(0, 0, 0)]
+#[case::above_the_maximum(u64::MAX, 1, u64::from(BACKOFF_MAX_MS))]
+fn can_keep_the_longer_of_two_backoffs(#[case] first: u64, #[case] second: u64, #[case] ends: u64) {
     let mut backoffs = Backoffs::default();
-    backoffs.record(Millis(0), &rest(E1, first));
-    backoffs.record(Millis(0), &rest(E1, second));
+    backoffs.record(Millis(0), &pause(E1, first));
+    backoffs.record(Millis(0), &pause(E1, second));
     let until = backoffs.until(Millis(0), E1);
     assert_eq!(until, (ends > 0).then_some(Millis(ends)));
     assert_eq!(backoffs.until(Millis(ends), E1), None);
     assert_eq!(backoffs.until(Millis(0), E2), None);
 }
 
-/// Guards against a grant that was on its way when its endpoint asked for rest.
+/// Guards against using a grant that crossed with its endpoint's backoff.
 #[test]
-fn can_give_a_grant_back_whose_endpoint_is_away() {
+fn can_return_a_grant_whose_endpoint_backs_off() {
     let view = view();
     let mut dispatcher = dispatcher(&view);
     let (first, seq) = arrive(&mut dispatcher, &view, 10_000);
     assert!(is_sent(&dispatcher.grant(Millis(1), grant(seq, E1))));
     let (_, second) = arrive(&mut dispatcher, &view, 10_000);
-    let (is_news, told) = dispatcher.backoff(Millis(2), first, rest(E1, 3000));
-    assert!(is_news && reports(&told) == [Report::Backoff(rest(E1, 3000))]);
-    let back = dispatcher.grant(Millis(3), grant(second, E1));
-    assert!(!is_sent(&back));
-    // Its scheduler may have forgotten, and would grant it the same again and again.
-    let told = reports(&back);
+    let (has_changed, effects) = dispatcher.backoff(Millis(2), first, pause(E1, 3000));
+    assert!(has_changed && reports(&effects) == [Report::Backoff(pause(E1, 3000))]);
+    let returned = dispatcher.grant(Millis(3), grant(second, E1));
+    assert!(!is_sent(&returned));
+    // The scheduler may have forgotten the backoff, and would grant the same endpoint again.
+    let sent = reports(&returned);
     assert_eq!(
-        told[..2],
-        [Report::Backoff(rest(E1, 2999)), Report::Return(second)]
+        sent[..2],
+        [Report::Backoff(pause(E1, 2999)), Report::Return(second)]
     );
-    let again = asked(&back).unwrap();
+    let again = asked(&returned).unwrap();
     assert!(is_sent(&dispatcher.grant(Millis(4), grant(again, E2))));
     let (_, third) = arrive(&mut dispatcher, &view, 10_000);
     let ended = Millis(3002);
     assert!(is_sent(&dispatcher.grant(ended, grant(third, E1))));
 }
 
-/// Guards against a rest that is forgotten with the scheduler that knew of it.
+/// Guards against a backoff that is forgotten when the scheduler that knew of it is lost.
 #[test]
-fn can_tell_the_next_scheduler_who_is_away() {
+fn can_report_backoffs_to_the_next_scheduler() {
     let view = view();
     let mut dispatcher = dispatcher(&view);
     let (first, seq) = arrive(&mut dispatcher, &view, 10_000);
     dispatcher.grant(Millis(1), grant(seq, E1));
-    dispatcher.backoff(Millis(2), first, rest(E1, 3000));
+    dispatcher.backoff(Millis(2), first, pause(E1, 3000));
     dispatcher.link_down(Millis(500), &name("s-0"));
-    let told = reports(&dispatcher.link_up(Millis(1002), &name("s-0")));
-    let hello = told.iter().find_map(|r| match r {
+    let sent = reports(&dispatcher.link_up(Millis(1002), &name("s-0")));
+    let hello = sent.iter().find_map(|r| match r {
         Report::Hello(hello) => Some(hello.clone()),
         _ => None,
     });
-    assert_eq!(hello.unwrap().backoff, [rest(E1, 2000)]);
+    assert_eq!(hello.unwrap().backoff, [pause(E1, 2000)]);
 }
 
-/// Guards against callers that wait until their deadline for endpoints of which all are away.
+/// Guards against callers that wait until their deadline while all endpoints back off.
 #[test]
-fn can_refuse_at_once_what_no_endpoint_takes_in_time() {
+fn can_refuse_at_once_when_all_endpoints_back_off_for_too_long() {
     let view = view();
     let mut dispatcher = dispatcher(&view);
     let (first, seq) = arrive(&mut dispatcher, &view, 1000);
     dispatcher.grant(Millis(1), grant(seq, E1));
     let (waiting, _) = arrive(&mut dispatcher, &view, 1000);
     let (patient, _) = arrive(&mut dispatcher, &view, 5000);
-    dispatcher.backoff(Millis(10), first, rest(E1, 4000));
+    dispatcher.backoff(Millis(10), first, pause(E1, 4000));
     let refused = |effects: &[Effect]| -> Vec<Handle> {
         let each = effects.iter().filter_map(|e| match e {
             Effect::Refuse(handle, refusal) => Some((*handle, refusal.after_ms)),
@@ -207,10 +207,10 @@
         .collect()
     };
     assert!(refused(&dispatcher.tick(Millis(20), &view)).is_empty());
-    dispatcher.backoff(Millis(20), first, rest(E2, 2990));
+    dispatcher.backoff(Millis(20), first, pause(E2, 2990));
     assert_eq!(refused(&dispatcher.tick(Millis(20), &view)), [waiting]);
-    let full = dispatcher.arrive(Millis(30), &view, arrival(1000));
-    assert_eq!(full.unwrap_err(), Rejection::Late { after_ms: 2980 });
+    let rejected = dispatcher.arrive(Millis(30), &view, arrival(1000));
+    assert_eq!(rejected.unwrap_err(), Rejection::Late { after_ms: 2980 });
     assert!(dispatcher.arrive(Millis(30), &view, arrival(5000)).is_ok());
     assert!(dispatcher.placement(patient) == Default::default());
     let ended = Millis(3010);
@@ -218,7 +218,7 @@
     assert!(dispatcher.arrive(ended, &view, arrival(4000)).is_ok());
 }
 
-/// A scheduler of two endpoints with sessions of two routers.
+/// A scheduler with two endpoints and sessions of two routers.
 fn scheduler(is_engine: bool) -> (Scheduler, Session, Session) {
     let mut scheduler = Scheduler::new(Epoch(EPOCH), Millis(0));
     let slots = scheduler.slots();
@@ -246,7 +246,7 @@
     }
 }
 
-/// Endpoints that a session's next four requests are granted, one after the other.
+/// Endpoints granted to the next four requests of a session, one after the other.
 fn granted(scheduler: &mut Scheduler, at: Millis, of: Session, first: u64) -> Vec<EndpointId> {
     let mut all = Vec::new();
     for n in first..first + 4 {
@@ -260,25 +260,25 @@
     all
 }
 
-/// Guards against slots that are granted to a router that cannot use them.
+/// Guards against granting slots to a router that must not use them.
 #[rstest]
 #[case::engines(true)]
 #[case::plain_endpoints(false)]
-fn can_grant_others_what_is_away_for_one_router(#[case] is_engine: bool) {
+fn can_grant_an_endpoint_to_other_routers_while_it_backs_off_for_one(#[case] is_engine: bool) {
     let (mut scheduler, one, two) = scheduler(is_engine);
     let now = Millis(GATHER_MS);
-    scheduler.handle_report(now, one, Report::Backoff(rest(E1, 3000)));
+    scheduler.handle_report(now, one, Report::Backoff(pause(E1, 3000)));
     assert_eq!(granted(&mut scheduler, now, one, 0), [E2; 4]);
     assert!(granted(&mut scheduler, now, two, 0).contains(&E1));
     let ended = now.after(3000);
     assert!(granted(&mut scheduler, ended, one, 10).contains(&E1));
 }
 
-/// Guards against requests that other routers send to an endpoint that leaves.
+/// Guards against other routers sending requests to an endpoint that is leaving.
 #[rstest]
 #[case::engines(true)]
 #[case::plain_endpoints(false)]
-fn can_keep_everyone_from_an_endpoint_that_leaves(#[case] is_engine: bool) {
+fn can_keep_all_routers_from_a_leaving_endpoint(#[case] is_engine: bool) {
     let (mut scheduler, one, two) = scheduler(is_engine);
     let now = Millis(GATHER_MS);
     scheduler.handle_report(now, one, Report::Backoff(Backoff::leaving(E1)));
@@ -288,12 +288,12 @@
     assert!(granted(&mut scheduler, over, two, 10).contains(&E1));
 }
 
-/// Guards against a rest that outlives its router's session, and is held against the next.
+/// Guards against a backoff that outlives its router's session and applies to the next one.
 #[test]
-fn can_forget_a_rest_with_its_session() {
+fn can_forget_a_backoff_with_its_session() {
     let (mut scheduler, one, _) = scheduler(true);
     let now = Millis(GATHER_MS);
-    scheduler.handle_report(now, one, Report::Backoff(rest(E1, 3000)));
+    scheduler.handle_report(now, one, Report::Backoff(pause(E1, 3000)));
     let again = scheduler.open_session(now, Some(one), &Hello::default());
     assert!(granted(&mut scheduler, now, again, 0).contains(&E1));
 }
