--- a/components/coordination/tests/dispatcher.rs
+++ b/components/coordination/tests/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The router's dispatcher.
+//! Dispatcher of a router: asks, grants, refusals and deadlines.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
 use coordination::dispatcher::{
@@ -85,7 +85,7 @@
     }
 }
 
-fn home() -> Location {
+fn location() -> Location {
     Location {
         region: name("main"),
         data_centre: name("dc"),
@@ -98,7 +98,7 @@
         requests: 200,
         bytes: 1500,
     };
-    let mut dispatcher = Dispatcher::new(home(), bounds);
+    let mut dispatcher = Dispatcher::new(location(), bounds);
     dispatcher.link_up(Millis(0), &name("s"));
     dispatcher
 }
@@ -144,28 +144,27 @@
 }
 
 #[test]
-fn can_give_back_a_slot_that_its_caller_never_took() {
+fn can_release_a_slot_that_its_caller_never_used() {
     // Symptom: a slot stays taken for good.
-    // Sequence: a grant arrives and the request is dispatched; at that moment
-    // its caller goes away, before it has seen the grant.
-    // Cause: leaving was understood as leaving the queue only.
+    // Sequence: a grant arrives and the request is dispatched; at that moment the caller goes
+    // away, before its task has seen the grant.
+    // Cause: the cancellation only removes the request from the queue.
     let view = view(1);
     let mut dispatcher = dispatcher();
     let (handle, sent) = arrive(&mut dispatcher, &view, 1);
     let seq = asked(&sent);
     let dispatched = dispatcher.grant(Millis(1), grant(1, seq));
     assert_eq!(dispatched, [Effect::Dispatch(handle, ENDPOINT)]);
-    let left = reports(&dispatcher.cancel(Millis(2), handle));
-    assert_eq!(left, [Report::Done(seq, 0, Verdict::Cancelled)]);
+    let released = reports(&dispatcher.cancel(Millis(2), handle));
+    assert_eq!(released, [Report::Done(seq, 0, Verdict::Cancelled)]);
     assert_eq!((dispatcher.held(), dispatcher.waiting()), (0, 0));
 }
 
 #[test]
 fn can_drop_a_grant_of_an_earlier_epoch() {
-    // Symptom: two schedulers give away the same slot.
-    // Sequence: a new scheduler is assigned while a grant of the old one is on
-    // its way.
-    // Cause: a grant that is not tied to its epoch.
+    // Symptom: two schedulers grant the same slot.
+    // Sequence: a new scheduler is assigned while a grant of the old one is in transit.
+    // Cause: grants are not tied to an epoch.
     let mut dispatcher = dispatcher();
     let (_, sent) = arrive(&mut dispatcher, &view(1), 1);
     let seq = asked(&sent);
@@ -176,7 +175,7 @@
 }
 
 #[test]
-fn can_return_a_grant_for_a_request_that_left() {
+fn can_return_a_grant_for_a_cancelled_request() {
     let view = view(1);
     let mut dispatcher = dispatcher();
     let (handle, sent) = arrive(&mut dispatcher, &view, 1);
@@ -185,12 +184,12 @@
         reports(&dispatcher.cancel(Millis(1), handle)),
         [Report::Withdraw(seq)]
     );
-    let back = reports(&dispatcher.grant(Millis(2), grant(1, seq)));
-    assert_eq!(back, [Report::Return(seq)]);
+    let returned = reports(&dispatcher.grant(Millis(2), grant(1, seq)));
+    assert_eq!(returned, [Report::Return(seq)]);
 }
 
 #[test]
-fn can_keep_a_flood_from_its_scheduler() {
+fn can_bound_asks_and_queues_during_a_flood() {
     let view = view(1);
     let mut dispatcher = dispatcher();
     let mut asks = 0;
@@ -199,20 +198,20 @@
         asks += sent.iter().filter(|r| matches!(r, Report::Ask(_))).count();
     }
     assert_eq!(asks, ASK_WINDOW as usize);
-    let full = dispatcher.arrive(Millis(0), &view, arrival(1)).err();
-    assert_eq!(full, Some(Rejection::Customer));
-    // Another customer still has room, until the router's own bound.
+    let rejected = dispatcher.arrive(Millis(0), &view, arrival(1)).err();
+    assert_eq!(rejected, Some(Rejection::Customer));
+    // Another customer's requests may wait, up to the router's own bound.
     let mut more = 0;
     while dispatcher.arrive(Millis(0), &view, arrival(2)).is_ok() {
         more += 1;
     }
     assert_eq!(more, 50);
-    let full = dispatcher.arrive(Millis(0), &view, arrival(3)).err();
-    assert_eq!(full, Some(Rejection::Router));
+    let rejected = dispatcher.arrive(Millis(0), &view, arrival(3)).err();
+    assert_eq!(rejected, Some(Rejection::Router));
 }
 
 #[test]
-fn can_give_up_at_the_deadline() {
+fn can_expire_a_request_at_its_deadline() {
     let view = view(1);
     let mut dispatcher = dispatcher();
     let (handle, sent) = arrive(&mut dispatcher, &view, 1);
@@ -223,19 +222,18 @@
 }
 
 #[test]
-fn can_schedule_locally_without_a_scheduler_and_tell_the_next_one() {
-    // Symptom: service that was given without a scheduler is forgotten, or
-    // counted twice.
-    // Sequence: the scheduler is lost; the dispatcher serves a request by itself; a
-    // scheduler is assigned; its hello is said twice; a third one is assigned.
-    // Cause: spending that is not told, or told to each scheduler again.
+fn can_schedule_locally_and_report_the_spending_once() {
+    // Symptom: service that was given without a scheduler is forgotten or counted twice.
+    // Sequence: the scheduler is lost; the dispatcher schedules a request locally; a new
+    // scheduler is assigned and receives the hello twice; a third scheduler is assigned.
+    // Cause: the spending is not reported, or is reported to each scheduler again.
     let mut dispatcher = dispatcher();
     let (first, _) = arrive(&mut dispatcher, &view(1), 1);
     dispatcher.link_down(Millis(1), &name("s"));
-    let alone = dispatcher.tick(Millis(1 + LOCAL_AFTER_MS), &view(1));
-    assert_eq!(alone, [Effect::Dispatch(first, ENDPOINT)]);
+    let effects = dispatcher.tick(Millis(1 + LOCAL_AFTER_MS), &view(1));
+    assert_eq!(effects, [Effect::Dispatch(first, ENDPOINT)]);
     dispatcher.done(Millis(400), first, 25, Verdict::Fine);
-    // Another one waits, so that the customer stays in the backlog.
+    // Another request waits, so that the customer stays in the backlog.
     arrive(&mut dispatcher, &view(1), 1);
     let spent = |reports: &[Report]| {
         reports.iter().find_map(|r| match r {
@@ -250,7 +248,7 @@
     dispatcher.follow(Millis(500), &view(2));
     let hello = reports(&dispatcher.link_up(Millis(500), &name("s")));
     assert_eq!(spent(&hello).map(|k| (k.level, k.spent)), Some((0, 25_000)));
-    // The hello is told again as long as nothing shows that it was heard.
+    // The hello repeats the spending until a grant shows that it was received.
     dispatcher.unassigned(Millis(500), Epoch(2));
     let again = reports(&dispatcher.tick(Millis(600), &view(2)));
     assert_eq!(spent(&again).map(|k| (k.level, k.spent)), Some((0, 25_000)));
@@ -262,12 +260,12 @@
 }
 
 #[test]
-fn can_count_requests_in_progress_when_it_schedules_locally() {
-    // Symptom: an endpoint has more requests than its slots while routers are
-    // without a scheduler.
-    // Sequence: four requests run on four slots; the scheduler is lost; two more
-    // come.
-    // Cause: a local scheduler that hears what runs before it knows the endpoints.
+fn can_count_requests_in_progress_when_scheduling_locally() {
+    // Symptom: an endpoint has more requests than slots while routers have no scheduler.
+    // Sequence: four requests are in progress on four slots; the scheduler is lost; two more
+    // requests arrive.
+    // Cause: the local scheduler receives the hello before it knows the endpoints, and
+    // ignores the slots in use.
     let view = view(1);
     let mut dispatcher = dispatcher();
     for _ in 0..4 {
@@ -303,7 +301,7 @@
     assert_eq!(asks, [ENDPOINT]);
 }
 
-/// A view with a second region, whose scheduler is `t`.
+/// A view with a second region, whose scheduler runs on VM `t`.
 fn two_regions() -> View {
     let mut view = view(1);
     let mut endpoint = view.config.endpoints[&ENDPOINT].clone();
@@ -329,16 +327,17 @@
 }
 
 #[test]
-fn can_ask_another_region_after_a_while_and_use_one_grant_only() {
-    // Symptom: endpoints of one region idle while another's callers wait; or a
-    // request runs in both.
-    // Sequence: a request waits at home, is asked for in another region too, and both grant.
-    // Cause: regions that do not know of each other, or asks that do not.
+fn can_ask_another_region_after_a_while_and_use_only_one_grant() {
+    // Symptom: endpoints of one region are idle while callers of another wait, or a request
+    // runs in both regions.
+    // Sequence: a request waits in its own region, is also asked for in another region, and
+    // both schedulers grant it a slot.
+    // Cause: no second ask is sent, or the asks of one request are independent.
     let view = two_regions();
     let mut dispatcher = dispatcher();
     dispatcher.link_up(Millis(0), &name("t"));
     let (handle, sent) = arrive(&mut dispatcher, &view, 1);
-    let home = asked(&sent);
+    let local = asked(&sent);
     assert!(asks(&dispatcher.tick(Millis(REMOTE_AFTER_MS - 1), &view)).is_empty());
     let mut remote = asks(&dispatcher.tick(Millis(REMOTE_AFTER_MS), &view));
     remote.extend(asks(&dispatcher.tick(Millis(REMOTE_AFTER_MS + 20), &view)));
@@ -351,10 +350,10 @@
     };
     let effects = dispatcher.grant(Millis(300), far);
     assert!(effects.contains(&Effect::Dispatch(handle, EndpointId(3))));
-    assert_eq!(reports(&effects), [Report::Withdraw(home)]);
-    // The grant at home was on its way: it is given back.
-    let late = reports(&dispatcher.grant(Millis(301), grant(1, home)));
-    assert_eq!(late, [Report::Return(home)]);
+    assert_eq!(reports(&effects), [Report::Withdraw(local)]);
+    // The grant in the own region was in transit, and is returned.
+    let late = reports(&dispatcher.grant(Millis(301), grant(1, local)));
+    assert_eq!(late, [Report::Return(local)]);
     assert_eq!((dispatcher.held(), dispatcher.waiting()), (1, 0));
     let done = dispatcher.done(Millis(400), handle, 9, Verdict::Fine);
     assert!(
@@ -364,7 +363,7 @@
 }
 
 #[test]
-fn can_take_back_the_remote_ask_when_home_grants() {
+fn can_withdraw_the_remote_ask_when_the_own_region_grants() {
     let view = two_regions();
     let mut dispatcher = dispatcher();
     dispatcher.link_up(Millis(0), &name("t"));
@@ -377,7 +376,7 @@
     assert_eq!((dispatcher.held(), dispatcher.waiting()), (1, 0));
 }
 
-/// Requests of one class with an aim of 400 ms, more than its scheduler is asked for.
+/// Queues requests of one class with an aim of 400 ms, more than [`ASK_WINDOW`].
 fn flood(dispatcher: &mut Dispatcher, view: &View, now: Millis) -> Vec<Handle> {
     let each = (0..ASK_WINDOW + 8).map(|_| {
         let mut arrival = arrival(1);
@@ -398,11 +397,10 @@
 }
 
 #[test]
-fn can_turn_newcomers_away_where_the_first_waits_too_long_to_be_asked_for() {
-    // One customer sent more through a router than its scheduler granted there. 512 of each
-    // kind waited behind the 32 that the scheduler knows of, for 1.5 s each, and were then
-    // refused with `expected_ms` 11 and `took_ms` 1,967; with aims of 400 to 600 ms none of
-    // them had any use of the wait.
+fn can_refuse_new_requests_while_the_first_waits_too_long_without_an_ask() {
+    // Symptom: requests with aims of 400 to 600 ms wait 1.5 s, only to be refused.
+    // Sequence: one customer sends more requests to a router than its scheduler grants.
+    // Cause: hundreds of requests wait behind the 32 asks that the scheduler knows of.
     let view = view(1);
     let mut dispatcher = dispatcher();
     flood(&mut dispatcher, &view, Millis(0));
@@ -411,64 +409,64 @@
         arrival.aim = Millis(now).after(400);
         arrival
     };
-    let soon = dispatcher.arrive(Millis(90), &view, late(90));
-    assert!(soon.is_ok(), "the queue may yet move on");
-    let newcomer = dispatcher.arrive(Millis(100), &view, late(100));
-    assert_eq!(newcomer.err(), Some(Rejection::Customer));
+    let early = dispatcher.arrive(Millis(90), &view, late(90));
+    assert!(early.is_ok(), "the queue may still make progress");
+    let rejected = dispatcher.arrive(Millis(100), &view, late(100));
+    assert_eq!(rejected.err(), Some(Rejection::Customer));
     let mut other = late(100);
     other.class.customer = CustomerId(2);
     let other = dispatcher.arrive(Millis(100), &view, other);
-    assert!(other.is_ok(), "another customer has no such queue");
+    assert!(other.is_ok(), "another customer's queue is not stuck");
 }
 
 #[test]
-fn can_refuse_what_has_waited_half_of_its_aim_to_be_asked_for() {
+fn can_refuse_requests_that_wait_half_of_their_aim_without_an_ask() {
     let view = view(1);
     let mut dispatcher = dispatcher();
     let handles = flood(&mut dispatcher, &view, Millis(0));
     assert!(refused(&dispatcher.tick(Millis(199), &view)).is_empty());
-    let gone = refused(&dispatcher.tick(Millis(200), &view));
+    let late = refused(&dispatcher.tick(Millis(200), &view));
     let unasked = &handles[ASK_WINDOW as usize..];
-    assert_eq!(gone.len(), unasked.len());
-    assert!(gone
+    assert_eq!(late.len(), unasked.len());
+    assert!(late
         .iter()
         .all(|(h, wait)| unasked.contains(h) && *wait == 200));
     assert_eq!(dispatcher.waiting(), ASK_WINDOW as usize);
 }
 
 #[test]
-fn can_let_requests_wait_for_the_next_scheduler() {
-    // With no scheduler none is asked for; the next one, or the router itself, is there
-    // before their aims have passed.
+fn can_keep_requests_waiting_for_the_next_scheduler() {
+    // Without a scheduler no asks are sent. The next scheduler, or local scheduling, starts
+    // before the aims have passed.
     let view = view(1);
     let mut dispatcher = dispatcher();
     let handles = flood(&mut dispatcher, &view, Millis(0));
     dispatcher.link_down(Millis(10), &name("s"));
     assert!(refused(&dispatcher.tick(Millis(250), &view)).is_empty());
     assert_eq!(dispatcher.waiting(), handles.len());
-    let mut newcomer = arrival(1);
-    newcomer.aim = Millis(250).after(400);
-    assert!(dispatcher.arrive(Millis(250), &view, newcomer).is_ok());
-    // The next one is asked for them before any is given up.
+    let mut next = arrival(1);
+    next.aim = Millis(250).after(400);
+    assert!(dispatcher.arrive(Millis(250), &view, next).is_ok());
+    // The next scheduler is asked before any request is given up.
     dispatcher.link_up(Millis(260), &name("s"));
     assert!(refused(&dispatcher.tick(Millis(280), &view)).is_empty());
 }
 
 #[test]
-fn can_refuse_as_the_scheduler_has_just_refused() {
-    // Asked for three times what its engines could do, a scheduler spent its processor on
-    // refusals: requests waited 438 to 724 ms for theirs, `expected_ms` 582 to 1,249, with
-    // aims of 400 to 600 ms, and what could be served was granted late.
+fn can_refuse_new_requests_right_after_a_refusal_of_their_class() {
+    // Symptom: with three times the load that engines can serve, refusals take longer than
+    // the aims of 400 to 600 ms, and requests that could be served are granted late.
+    // Cause: the scheduler spends its processor time on refusals.
     let view = view(1);
     let mut dispatcher = dispatcher();
     let mut first = arrival(1);
     first.aim = Millis(400);
     let (_, effects) = dispatcher.arrive(Millis(0), &view, first).unwrap();
-    let mut told = reports(&effects);
-    told.extend(reports(&dispatcher.tick(Millis(0), &view)));
+    let mut sent = reports(&effects);
+    sent.extend(reports(&dispatcher.tick(Millis(0), &view)));
     let refusal = |wait_ms| Refusal {
         epoch: Epoch(1),
-        seq: asked(&told),
+        seq: asked(&sent),
         wait_ms,
         after_ms: 700,
     };
@@ -478,8 +476,8 @@
         arrival.aim = Millis(now).after(400);
         arrival
     };
-    let newcomer = dispatcher.arrive(Millis(20), &view, late(20, 1));
-    assert_eq!(newcomer.err(), Some(Rejection::Late { after_ms: 700 }));
+    let rejected = dispatcher.arrive(Millis(20), &view, late(20, 1));
+    assert_eq!(rejected.err(), Some(Rejection::Late { after_ms: 700 }));
     assert!(dispatcher.arrive(Millis(20), &view, late(20, 2)).is_ok());
     dispatcher.tick(Millis(60), &view);
     assert!(dispatcher.arrive(Millis(109), &view, late(109, 1)).is_err());
--- a/components/coordination/tests/selection.rs
+++ b/components/coordination/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Which scheduler a router asks, where a region's engines are divided by data centre.
+//! Which shard a router selects for a request, where a region is divided by data centre.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
 mod views;
@@ -16,13 +16,13 @@
 use views::{name, SERVICE};
 
 const CENTRES: u32 = 4;
-const ENGINES: u32 = 12;
+const ENGINES_PER_CENTRE: u32 = 12;
 const AIM_MS: u64 = 800;
 
-/// Engines in four data centres; `joined` counts all as of one.
+/// A view with engines in four data centres, or in a single one if `joined`.
 fn view(joined: bool) -> View {
     let mut view = views::view(None);
-    for n in 0..CENTRES * ENGINES {
+    for n in 0..CENTRES * ENGINES_PER_CENTRE {
         let centre = if joined { 0 } else { n % CENTRES };
         views::add(&mut view, n, &format!("dc-{centre}"), 4);
     }
@@ -31,9 +31,9 @@
     view
 }
 
-/// A router in a data centre with links to all schedulers.
+/// A router in data centre `centre` with links to all schedulers.
 fn router(view: &View, centre: u32) -> Dispatcher {
-    let home = Location {
+    let location = Location {
         region: name("main"),
         data_centre: name(&format!("dc-{centre}")),
         incarnation: 100 + u64::from(centre),
@@ -42,7 +42,7 @@
         requests: 1000,
         bytes: u64::MAX,
     };
-    let mut dispatcher = Dispatcher::new(home, bounds);
+    let mut dispatcher = Dispatcher::new(location, bounds);
     dispatcher.follow(Millis(0), view);
     for n in 0..CENTRES {
         dispatcher.link_up(Millis(0), &name(&format!("s-{n}")));
@@ -50,7 +50,7 @@
     dispatcher
 }
 
-/// A request of customer 1 whose prompt begins with a shared part.
+/// A request of customer 1 whose prompt begins with `shared` tokens of a shared part.
 fn arrival(now: u64, part: u64, shared: u32, own: u64) -> Arrival {
     Arrival {
         service: SERVICE,
@@ -72,7 +72,7 @@
     }
 }
 
-/// The same of another customer: only some asks of each are out at once.
+/// The same request of another customer, so that the bound on asks per class does not apply.
 fn of(customer: u64, arrival: Arrival) -> Arrival {
     let customer = CustomerId(u32::try_from(customer).unwrap());
     let class = Class {
@@ -82,7 +82,7 @@
     Arrival { class, ..arrival }
 }
 
-/// Asks with the epochs of the schedulers that they go to.
+/// Asks, each with the epoch of the scheduler that receives it.
 fn asks(effects: &[Effect]) -> Vec<(u64, Ask)> {
     let each = effects.iter().filter_map(|e| match e {
         Effect::Report(assignment, Report::Ask(ask)) => Some((assignment.epoch.0, *ask)),
@@ -91,7 +91,7 @@
     each.collect()
 }
 
-/// Lets a request arrive and gives the scheduler that is asked for it.
+/// Queues a request and returns its ask, with the epoch of the scheduler that receives it.
 fn arrive(dispatcher: &mut Dispatcher, view: &View, arrival: Arrival) -> (Handle, u64, Ask) {
     let now = Millis(arrival.aim.0 - AIM_MS);
     let (handle, mut effects) = dispatcher.arrive(now, view, arrival).unwrap();
@@ -100,8 +100,8 @@
     (handle, epoch, ask)
 }
 
-/// Lets a router have sessions with all schedulers.
-fn meet_all(router: &mut Dispatcher, view: &View) {
+/// Makes a router open sessions with all schedulers.
+fn open_all_sessions(router: &mut Dispatcher, view: &View) {
     for part in 0..40 {
         let some = arrival(0, part, 13_000, part);
         arrive(router, view, of(100 + part, some));
@@ -118,9 +118,9 @@
 }
 
 #[test]
-fn prompts_with_a_part_in_common_go_to_one_scheduler_from_everywhere() {
-    // Symptom: each shared part is read in each data centre, five times in all.
-    // Cause: routers that ask at home, or anywhere.
+fn prompts_with_a_shared_part_go_to_the_same_shard_from_all_routers() {
+    // Symptom: each shared part is prefilled in each data centre.
+    // Cause: routers select the shard of their own data centre, or any shard.
     let view = view(false);
     let mut routers: Vec<Dispatcher> = (0..CENTRES).map(|n| router(&view, n)).collect();
     let mut counts: BTreeMap<u64, u32> = BTreeMap::new();
@@ -131,12 +131,12 @@
         assert!(asked.iter().all(|epoch| *epoch == asked[0]), "{asked:?}");
         *counts.entry(asked[0]).or_default() += 1;
     }
-    // Spread as evenly as dice fall: 100 each, some three deviations of 9.
+    // Expected are 100 each; the bounds are three standard deviations of 9.
     assert!(counts.values().all(|n| (70..130).contains(n)), "{counts:?}");
     assert_eq!(counts.len(), 4);
 }
 
-/// The same view of engines that copy parts from each other.
+/// The same view, with engines that copy cached prompt parts from each other.
 fn copying_view() -> View {
     let mut view = view(false);
     if let Some(service) = view.config.services.get_mut(&SERVICE) {
@@ -149,12 +149,12 @@
     view
 }
 
-/// Lets a router hear how busy the engines of its data centre are, by so many grants.
-fn hear(router: &mut Dispatcher, view: &View, busy: u8, grants: u64) {
-    let home = 1;
+/// Reports to a router with `grants` grants how busy the engines of its data centre are.
+fn report_busy(router: &mut Dispatcher, view: &View, busy: u8, grants: u64) {
+    let local = 1;
     for n in 0..grants {
         let (_, epoch, ask) = arrive(router, view, of(500 + n, arrival(0, n, 300, n)));
-        assert_eq!(epoch, home);
+        assert_eq!(epoch, local);
         let grant = Grant {
             epoch: Epoch(epoch),
             seq: ask.seq,
@@ -171,23 +171,23 @@
     }
 }
 
-/// Guards against bodies of 17 kB that cross to another data centre for a part which engines
-/// at home can copy, and against a data centre that keeps what it cannot serve.
+/// Guards against sending bodies of 17 kB to another data centre for a part that local engines
+/// can copy, and against keeping requests in a data centre that cannot serve them.
 #[test]
-fn prompts_stay_at_home_while_engines_there_have_time_to_copy() {
+fn prompts_stay_in_their_data_centre_while_engines_there_have_time_to_copy() {
     let view = copying_view();
     let mut router = router(&view, 0);
     let elsewhere = |router: &mut Dispatcher, from: u64| {
         let asked = (from..from + 40).map(|part| {
-            let one = of(part, arrival(0, part, 13_000, part));
-            arrive(router, &view, one).1
+            let request = of(part, arrival(0, part, 13_000, part));
+            arrive(router, &view, request).1
         });
         asked.filter(|epoch| *epoch != 1).count()
     };
     assert_eq!(elsewhere(&mut router, 0), 0);
-    hear(&mut router, &view, 95, 20);
+    report_busy(&mut router, &view, 95, 20);
     assert!(elsewhere(&mut router, 1000) > 20);
-    hear(&mut router, &view, 10, 20);
+    report_busy(&mut router, &view, 10, 20);
     assert_eq!(elsewhere(&mut router, 2000), 0);
 }
 
@@ -204,13 +204,13 @@
 }
 
 #[test]
-fn what_one_scheduler_refuses_another_one_is_asked_for_once() {
-    // Symptom: requests are refused at one data centre beside idle engines in others.
-    // Sequence: a router with few requests asks a scheduler that has too much to do.
-    // Cause: its refusal was final.
+fn a_refused_request_is_asked_for_once_more_at_another_shard() {
+    // Symptom: requests are refused at one data centre while engines in others are idle.
+    // Sequence: a router with few requests asks a scheduler that is overloaded.
+    // Cause: its refusal is final.
     let view = view(false);
     let mut router = router(&view, 0);
-    // Sessions with all four.
+    // Open sessions with all four schedulers.
     for part in 0..40 {
         arrive(
             &mut router,
@@ -225,7 +225,7 @@
         unreachable!("{effects:?}");
     };
     assert_ne!(second, first);
-    // Its time goes on.
+    // The aim still counts from the arrival of the request.
     assert!(u64::from(ask.aim_ms) < AIM_MS);
     let effects = router.refuse(Millis(120), refusal(second, &ask, 900));
     let is_refused = |e: &Effect| matches!(e, Effect::Refuse(h, _) if *h == handle);
@@ -234,15 +234,15 @@
 }
 
 #[test]
-fn newcomers_go_elsewhere_while_their_scheduler_is_pressed_and_come_back() {
+fn new_requests_use_another_shard_only_while_theirs_is_overloaded() {
     let view = view(false);
     let mut router = router(&view, 0);
-    meet_all(&mut router, &view);
+    open_all_sessions(&mut router, &view);
     let (_, first, ask) = arrive(&mut router, &view, arrival(0, 7, 300, 1));
     router.refuse(Millis(5), refusal(first, &ask, 700));
     let (_, other, _) = arrive(&mut router, &view, arrival(10, 7, 300, 2));
     assert_ne!(other, first);
-    // Where all are pressed they stay, and the parts that are kept stay of use.
+    // Where all shards are overloaded requests stay, so that cached parts remain useful.
     for own in 0..30 {
         let next = router.arrive(Millis(20), &view, arrival(20, 7, 300, 10 + own));
         let mut asked = next.map_or_else(|_| Vec::new(), |(_, effects)| asks(&effects));
@@ -252,23 +252,23 @@
     }
     let next = router.arrive(Millis(30), &view, arrival(30, 7, 300, 99));
     assert!(matches!(next, Err(Rejection::Late { .. })), "{next:?}");
-    // Old news counts less and less.
+    // Old measurements lose their weight.
     let (_, back, _) = arrive(&mut router, &view, arrival(1500, 7, 300, 100));
     assert_eq!(back, first);
 }
 
 #[test]
-fn a_scheduler_that_is_lost_is_passed_over_and_holds_up_nobody() {
-    // Symptom: all requests of a customer wait while one of four schedulers is away.
-    // Sequence: the first in the queue belongs to the scheduler that is lost.
-    // Cause: a queue of a customer in which the first one blocks the others.
+fn a_lost_scheduler_is_skipped_and_blocks_no_other_requests() {
+    // Symptom: all requests of a customer wait while one of four schedulers is lost.
+    // Sequence: the first request in the queue belongs to the shard of the lost scheduler.
+    // Cause: the first request in a customer's queue blocks the others.
     let view = view(false);
     let mut router = router(&view, 0);
-    meet_all(&mut router, &view);
+    open_all_sessions(&mut router, &view);
     let (_, first, _) = arrive(&mut router, &view, arrival(0, 7, 13_000, 1));
     let vm = name(&format!("s-{}", first - 1));
     router.link_down(Millis(10), &vm);
-    // Too soon to know that it is lost.
+    // Too early to consider the scheduler lost.
     let waiting = router.arrive(Millis(20), &view, arrival(20, 7, 13_000, 2));
     assert!(asks(&waiting.unwrap().1).is_empty());
     let other = (100..).find(|part| {
@@ -282,10 +282,11 @@
 }
 
 #[test]
-fn a_region_that_is_divided_anew_keeps_what_is_in_progress() {
-    // Symptom: endpoints get more than their slots when schedulers change.
-    // Sequence: requests run when a region is divided; the new schedulers grant.
-    // Cause: requests in progress belong to a shard that is no more.
+fn requests_in_progress_are_reported_after_a_region_is_divided() {
+    // Symptom: endpoints get more requests than slots when schedulers change.
+    // Sequence: requests are in progress when a region is divided by data centre; the new
+    // schedulers grant slots.
+    // Cause: requests in progress belong to a shard that no longer exists.
     let joined = view(true);
     let mut router = router(&joined, 0);
     let (handle, epoch, ask) = arrive(&mut router, &joined, arrival(0, 7, 13_000, 1));
@@ -323,7 +324,7 @@
         .collect();
     assert!(held.iter().all(|h| *h == (22, EndpointId(2))), "{held:?}");
     assert!(!held.is_empty());
-    // The old scheduler is not asked any more.
+    // The old scheduler is no longer asked.
     let (_, epoch, _) = arrive(&mut router, &divided, arrival(100, 7, 13_000, 2));
     assert!(epoch >= 20);
 }
