--- a/components/coordination/src/dispatcher/backoff.rs
+++ b/components/coordination/src/dispatcher/backoff.rs
@@ -30,11 +30,12 @@
         (has_changed, effects)
     }
 
-    /// Returns a grant for an endpoint that must not be sent requests now, and queues its
-    /// request again. Returns false if the endpoint may be used.
+    /// Declines a grant for an endpoint that must not be sent requests now: reports the grant
+    /// as unused and queues its request again. False if the endpoint may be used.
     ///
-    /// The grant crossed with the backoff, or the scheduler does not know of it.
-    pub(super) fn decline(
+    /// Such a grant crossed with the report of the backoff, or its scheduler does not know of
+    /// the backoff.
+    pub(super) fn decline_grant(
         &mut self,
         now: Millis,
         shard: &Shard,
@@ -47,7 +48,7 @@
         };
         let session = self.sessions.get_mut(shard);
         let handle = session.and_then(|s| s.asked.remove(&grant.seq));
-        // A scheduler forgets backoffs of endpoints that it has lost from its view meanwhile.
+        // A scheduler that did not see the endpoint for a while has forgotten the backoff.
         self.report(now, shard, Report::Backoff(backoff), effects);
         self.report(now, shard, Report::Return(grant.seq), effects);
         let Some((handle, request)) = handle.and_then(|h| Some((h, self.requests.get_mut(h)?)))
@@ -60,7 +61,7 @@
         }
         request.stage = Stage::Waiting;
         let (service, class) = (request.arrival.service, request.arrival.class);
-        let queue = self.classes.entry((service, class)).or_default();
+        let queue = self.queues.entry((service, class)).or_default();
         queue.asked = queue.asked.saturating_sub(1);
         queue.waiting.push_front(handle);
         self.send_asks(now, service, class, effects);
@@ -96,7 +97,7 @@
         }
         self.backoffs.expire(now);
         for shard in self.sessions.keys() {
-            if self.backoffs.len() < self.selector.open(shard) {
+            if self.backoffs.len() < self.selector.available(shard) {
                 continue;
             }
             let open = endpoints(view, shard).filter(|(_, _, _, leaving)| !leaving);
--- a/components/coordination/src/dispatcher/local.rs
+++ b/components/coordination/src/dispatcher/local.rs
@@ -45,7 +45,7 @@
         let Some(session) = self.sessions.get_mut(shard) else {
             return;
         };
-        // It is the only router in the session, so it need not wait to gather others.
+        // This router has the only session, so the scheduler need not gather others first.
         let gathered = Millis(now.0.saturating_sub(GATHER_MS));
         let hello = session.build_hello(held, backoff);
         session.local = Some((
@@ -67,7 +67,7 @@
             return;
         };
         let routers = session.routers;
-        let is_counted = session.is_counted;
+        let has_router_count = session.has_router_count;
         let Some((local, _)) = &mut session.local else {
             return;
         };
@@ -76,20 +76,24 @@
         let service = view.config.services.get(&shard.service);
         if let Some(cold) = service.and_then(|s| s.cold) {
             // The number of routers that share the rate is unknown until a scheduler reports it.
-            let rate = if is_counted { cold.rate / routers } else { 0 };
+            let rate = if has_router_count {
+                cold.rate / routers
+            } else {
+                0
+            };
             slots.set_cold_rate(Some(rate));
         }
-        let mut any = 0;
+        let mut total = 0;
         for (id, slots, _, leaving) in endpoints(view, shard) {
             let share = share(slots, routers, self.incarnation, id);
-            any += share;
+            total += share;
             local.slots().set(id, share, 0, leaving);
         }
-        if any == 0 {
+        if total == 0 {
             // The least share is one slot, or no request would make progress.
-            let least = |e: &(EndpointId, u32, u32, bool)| hash(self.incarnation, e.0);
+            let by_hash = |e: &(EndpointId, u32, u32, bool)| hash(self.incarnation, e.0);
             let open = endpoints(view, shard).filter(|(_, _, _, leaving)| !leaving);
-            if let Some((id, ..)) = open.min_by_key(least) {
+            if let Some((id, ..)) = open.min_by_key(by_hash) {
                 local.slots().set(id, 1, 0, false);
             }
         }
@@ -106,12 +110,12 @@
 /// Slots that cannot be divided evenly go to some of the routers, different ones for each
 /// endpoint, so that all shares together are about the number of slots.
 fn share(slots: u32, routers: u32, incarnation: u64, endpoint: EndpointId) -> u32 {
-    let extra = hash(incarnation, endpoint) % u64::from(routers) < u64::from(slots % routers);
-    slots / routers + u32::from(extra)
+    let has_extra = hash(incarnation, endpoint) % u64::from(routers) < u64::from(slots % routers);
+    slots / routers + u32::from(has_extra)
 }
 
 /// Hash of an incarnation and an endpoint.
 pub(super) fn hash(incarnation: u64, endpoint: EndpointId) -> u64 {
-    let product = incarnation ^ u64::from(endpoint.0).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    product.wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 32
+    let mixed = incarnation ^ u64::from(endpoint.0).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    mixed.wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 32
 }
--- a/components/coordination/src/dispatcher/mod.rs
+++ b/components/coordination/src/dispatcher/mod.rs
@@ -86,13 +86,13 @@
 /// Why the dispatcher rejects a request on arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// Too many requests of its class wait, or the first of them has waited too long.
+    /// Too many requests of the same class wait, or the first of them has waited too long.
     Customer,
     /// Too many requests wait at the router, or their bodies are too large.
     Router,
     /// No endpoint can serve the request.
     NoEndpoint,
-    /// The answer would be late: the scheduler has just refused a request of its class, or all
+    /// The answer would be late: the scheduler has just refused a request of the same class, or all
     /// endpoints have asked for a backoff.
     Late {
         /// Time after which the caller may retry, in milliseconds.
@@ -140,14 +140,14 @@
     /// Requests that wait or are in progress.
     requests: SlotMap<Handle, Request>,
     /// Waiting requests by class.
-    classes: BTreeMap<(ServiceId, Class), Queue>,
+    queues: BTreeMap<(ServiceId, Class), Queue>,
     sessions: BTreeMap<Shard, Session>,
     /// VMs to which a link is up.
     links: BTreeSet<Name>,
     /// Number of waiting requests.
     waiting: usize,
     /// Memory that waiting requests take, in bytes.
-    bytes: u64,
+    waiting_bytes: u64,
     hot_spot: HotSpot,
     backoffs: Backoffs,
     /// Endpoints that get no new work, according to the latest view.
@@ -166,11 +166,11 @@
             selector: Selector::new(location),
             bounds,
             requests: SlotMap::with_key(),
-            classes: BTreeMap::new(),
+            queues: BTreeMap::new(),
             sessions: BTreeMap::new(),
             links: BTreeSet::new(),
             waiting: 0,
-            bytes: 0,
+            waiting_bytes: 0,
             hot_spot: HotSpot::default(),
             backoffs: Backoffs::default(),
             closed_endpoints: BTreeSet::new(),
@@ -196,7 +196,7 @@
 
     /// Average number of requests in progress per router, according to the schedulers.
     fn average_running(&self) -> usize {
-        let active = self.sessions.values().filter(|s| s.up);
+        let active = self.sessions.values().filter(|s| s.is_up);
         let each = active.map(|s| s.running.div_ceil(s.routers));
         // CAST: 32 bits fit into a size on every supported target.
         each.map(|n| n as usize).sum()
@@ -205,7 +205,7 @@
     /// Number of waiting requests of each customer.
     pub fn queues(&self) -> BTreeMap<CustomerId, u32> {
         let mut queues = BTreeMap::new();
-        for ((_, class), queue) in &self.classes {
+        for ((_, class), queue) in &self.queues {
             if queue.count > 0 {
                 *queues.entry(class.customer).or_default() += queue.count;
             }
@@ -215,7 +215,7 @@
 
     /// Shards in use, and whether each has a session with a scheduler.
     pub fn shards(&self) -> impl Iterator<Item = (&Shard, bool)> {
-        self.sessions.iter().map(|(shard, s)| (shard, s.up))
+        self.sessions.iter().map(|(shard, s)| (shard, s.is_up))
     }
 
     /// Number of routers that share the endpoints, 1 before a scheduler has reported it.
@@ -225,7 +225,7 @@
 
     /// Number of routers that share the endpoints, once a scheduler has reported it.
     pub fn routers_reported(&self) -> Option<u32> {
-        let counted = self.sessions.values().filter(|s| s.is_counted);
+        let counted = self.sessions.values().filter(|s| s.has_router_count);
         counted.map(|s| s.routers).max()
     }
 
@@ -257,11 +257,11 @@
         arrival: Arrival,
     ) -> Result<(Handle, Effects), Rejection> {
         if self.selector.is_empty() {
-            self.selector.follow(view);
+            self.selector.update(view);
         }
         let shard = self.shard(now, &arrival).cloned();
         let shard = shard.ok_or(Rejection::NoEndpoint)?;
-        let full = self.bytes.saturating_add(arrival.bytes) > self.bounds.bytes;
+        let full = self.waiting_bytes.saturating_add(arrival.bytes) > self.bounds.bytes;
         if full || self.waiting >= self.bounds.requests {
             return Err(Rejection::Router);
         }
@@ -277,7 +277,7 @@
             return Err(Rejection::Late { after_ms });
         }
         let queue = self
-            .classes
+            .queues
             .entry((arrival.service, arrival.class))
             .or_default();
         if queue.count >= arrival.queue {
@@ -348,7 +348,7 @@
         let of = Some((class, request.arrival.weight));
         let done = Report::Done(seq, cost, verdict);
         self.report_charged(now, &shard, of, done, &mut effects);
-        self.has_stranded |= self.selector.open(&shard) == 0;
+        self.has_stranded |= self.selector.available(&shard) == 0;
         self.enqueue(handle);
         self.send_asks(now, service, class, &mut effects);
         effects
@@ -412,17 +412,17 @@
     pub fn grant(&mut self, now: Millis, grant: Grant) -> Effects {
         let mut effects = Effects::new();
         let found = self.sessions.iter_mut().find(|(_, s)| {
-            s.up && s
-                .assignment
-                .as_ref()
-                .is_some_and(|assignment| assignment.epoch == grant.epoch)
+            s.is_up
+                && s.assignment
+                    .as_ref()
+                    .is_some_and(|assignment| assignment.epoch == grant.epoch)
         });
         let Some((shard, session)) = found else {
             return effects;
         };
         let shard = shard.clone();
         session.routers = grant.routers.max(1);
-        session.is_counted = true;
+        session.has_router_count = true;
         session.record_busy(u32::from(grant.busy));
         session.running = grant.running;
         self.apply_grant(now, &shard, grant, &mut effects);
@@ -434,10 +434,10 @@
         let mut effects = Effects::new();
         let epoch = refusal.epoch;
         let of = |s: &Session| {
-            s.up && s
-                .assignment
-                .as_ref()
-                .is_some_and(|assignment| assignment.epoch == epoch)
+            s.is_up
+                && s.assignment
+                    .as_ref()
+                    .is_some_and(|assignment| assignment.epoch == epoch)
         };
         let found = self.sessions.iter().find(|(_, s)| of(s));
         let Some(shard) = found.map(|(shard, _)| shard.clone()) else {
@@ -450,7 +450,7 @@
     /// Applies a new view: assignments of schedulers, and endpoints that join or leave.
     pub fn follow(&mut self, now: Millis, view: &View) -> Effects {
         let mut effects = Effects::new();
-        self.selector.follow(view);
+        self.selector.update(view);
         let endpoints = view.config.endpoints.iter();
         let closed = endpoints.filter(|(id, endpoint)| !view.accepts_work(**id, endpoint));
         self.closed_endpoints = closed.map(|(id, _)| *id).collect();
@@ -539,8 +539,8 @@
         for shard in shards {
             self.tick_session(now, view, &shard, &mut effects);
         }
-        self.classes.retain(|_, queue| queue.count > 0);
-        self.ask_remote(now, view, &mut effects);
+        self.queues.retain(|_, queue| queue.count > 0);
+        self.ask_other_regions(now, view, &mut effects);
         effects
     }
 }
--- a/components/coordination/src/dispatcher/queue.rs
+++ b/components/coordination/src/dispatcher/queue.rs
@@ -1,4 +1,4 @@
-//! Queues of waiting requests: from arrival over the ask to the grant or refusal.
+//! Queues of waiting requests, and the path of a request from its arrival to a grant or refusal.
 
 use super::local::LOCAL_EPOCH;
 use super::session::Session;
@@ -82,8 +82,8 @@
         };
         let key = (request.arrival.service, request.arrival.class);
         self.waiting += 1;
-        self.bytes += request.arrival.bytes;
-        let queue = self.classes.entry(key).or_default();
+        self.waiting_bytes += request.arrival.bytes;
+        let queue = self.queues.entry(key).or_default();
         queue.waiting.push_back(handle);
         queue.count += 1;
     }
@@ -91,8 +91,8 @@
     /// Subtracts a request from the counts of its queue.
     pub(super) fn uncount(&mut self, arrival: &Arrival, asked: bool) {
         self.waiting = self.waiting.saturating_sub(1);
-        self.bytes = self.bytes.saturating_sub(arrival.bytes);
-        if let Some(queue) = self.classes.get_mut(&(arrival.service, arrival.class)) {
+        self.waiting_bytes = self.waiting_bytes.saturating_sub(arrival.bytes);
+        if let Some(queue) = self.queues.get_mut(&(arrival.service, arrival.class)) {
             queue.count = queue.count.saturating_sub(1);
             if asked {
                 queue.asked = queue.asked.saturating_sub(1);
@@ -115,8 +115,8 @@
             Stage::Held { .. } => return,
             Stage::Waiting => {
                 let key = (arrival.service, arrival.class);
-                if let Some(queue) = self.classes.get_mut(&key) {
-                    queue.waiting.retain(|t| *t != handle);
+                if let Some(queue) = self.queues.get_mut(&key) {
+                    queue.waiting.retain(|h| *h != handle);
                 }
                 self.uncount(&arrival, false);
             }
@@ -138,8 +138,8 @@
     /// False for a retry, and for a request whose aim had passed when it was queued: the
     /// scheduler decides whether these are still worth serving.
     pub(super) fn is_stuck(&self, now: Millis, request: &Request, divisor: u64) -> bool {
-        let up = self.sessions.get(&request.shard).filter(|s| s.up);
-        let Some(session) = up.filter(|_| request.stage == Stage::Waiting) else {
+        let session = self.sessions.get(&request.shard).filter(|s| s.is_up);
+        let Some(session) = session.filter(|_| request.stage == Stage::Waiting) else {
             return false;
         };
         let since = request.queued_at.max(session.up_since);
@@ -178,7 +178,7 @@
         effects: &mut Effects,
     ) {
         loop {
-            let Some(queue) = self.classes.get_mut(&(service, class)) else {
+            let Some(queue) = self.queues.get_mut(&(service, class)) else {
                 return;
             };
             if queue.asked >= ASK_WINDOW {
@@ -235,7 +235,7 @@
         shard: &Shard,
         effects: &mut Effects,
     ) {
-        let classes: Vec<(ServiceId, Class)> = (self.classes.keys())
+        let classes: Vec<(ServiceId, Class)> = (self.queues.keys())
             .filter(|(service, _)| *service == shard.service)
             .copied()
             .collect();
@@ -252,7 +252,7 @@
         grant: Grant,
         effects: &mut Effects,
     ) {
-        if self.decline(now, shard, &grant, effects) {
+        if self.decline_grant(now, shard, &grant, effects) {
             return;
         }
         let Some(session) = self.sessions.get_mut(shard) else {
@@ -264,7 +264,7 @@
         };
         let remote = |r: &Request| r.shard != *shard;
         if self.requests.get(handle).is_some_and(remote) {
-            self.move_remote(now, handle, shard, effects);
+            self.move_to_remote(now, handle, shard, effects);
         } else {
             self.withdraw_remote(now, handle, effects);
         }
@@ -341,8 +341,8 @@
         self.send_asks(now, arrival.service, arrival.class, effects);
     }
 
-    /// Queues a request that one shard has refused to ask another shard, if that has room.
-    /// Returns false if there is no such shard or the request was moved before.
+    /// Queues a refused request again, for another shard that has room. Returns false if there
+    /// is no such shard or the request was moved before.
     ///
     /// A router with few requests of a customer cannot know in advance which shard is
     /// overloaded. Without a second ask, requests would be refused at one data centre while
@@ -356,7 +356,7 @@
         let Some(other) = other.cloned() else {
             return false;
         };
-        if !self.sessions.get(&other).is_some_and(|s| s.up) {
+        if !self.sessions.get(&other).is_some_and(|s| s.is_up) {
             return false;
         }
         if let Some(request) = self.requests.get_mut(handle) {
@@ -365,7 +365,7 @@
             request.stage = Stage::Waiting;
         }
         let key = (arrival.service, arrival.class);
-        let queue = self.classes.entry(key).or_default();
+        let queue = self.queues.entry(key).or_default();
         queue.asked = queue.asked.saturating_sub(1);
         queue.waiting.push_front(handle);
         true
@@ -374,8 +374,8 @@
     /// Moves requests from shards that have no endpoint left that takes work, or that no
     /// longer exist because the region is divided into shards differently.
     pub(super) fn move_stranded(&mut self, now: Millis, view: &View, effects: &mut Effects) {
-        let gone: Vec<Shard> = (self.sessions.keys())
-            .filter(|shard| self.selector.open(shard) == 0)
+        let stale: Vec<Shard> = (self.sessions.keys())
+            .filter(|shard| self.selector.available(shard) == 0)
             .chain(
                 self.sessions
                     .keys()
@@ -383,7 +383,7 @@
             )
             .cloned()
             .collect();
-        for shard in gone {
+        for shard in stale {
             self.move_from(now, view, &shard, effects);
             if !self.selector.contains(&shard) && self.requests.values().all(|r| r.shard != shard) {
                 self.sessions.remove(&shard);
--- a/components/coordination/src/dispatcher/remote.rs
+++ b/components/coordination/src/dispatcher/remote.rs
@@ -17,7 +17,7 @@
 
 impl Dispatcher {
     /// Sends asks to other regions for requests that have waited for a while.
-    pub(super) fn ask_remote(&mut self, now: Millis, view: &View, effects: &mut Effects) {
+    pub(super) fn ask_other_regions(&mut self, now: Millis, view: &View, effects: &mut Effects) {
         let remote = self
             .requests
             .values()
@@ -27,18 +27,18 @@
             let asked = matches!(r.stage, Stage::Asked(_));
             asked && r.remote.is_none() && now.since(r.queued_at) >= REMOTE_AFTER_MS
         };
-        let long: Vec<Handle> = (self.requests.iter())
+        let overdue: Vec<Handle> = (self.requests.iter())
             .filter(|(_, r)| waits(r))
             .map(|(handle, _)| handle)
             .take(REMOTE_ASKS_MAX.saturating_sub(remote))
             .collect();
-        for handle in long {
-            self.ask_remote_for(now, view, handle, effects);
+        for handle in overdue {
+            self.ask_other_region(now, view, handle, effects);
         }
     }
 
-    /// Sends an ask for a request to a scheduler of another region, chosen at random.
-    pub(super) fn ask_remote_for(
+    /// Sends an ask for a request to a scheduler of another region, chosen by a hash of the time.
+    pub(super) fn ask_other_region(
         &mut self,
         now: Millis,
         view: &View,
@@ -49,12 +49,12 @@
             return;
         };
         let (arrival, avoid) = (request.arrival, request.avoid);
-        let home = request.shard.clone();
+        let own = request.shard.clone();
         let others: SmallVec<[Shard; 7]> = (view.assignments.iter())
             .map(|assignment| &assignment.shard)
-            .filter(|s| s.service == home.service && s.region != home.region)
+            .filter(|s| s.service == own.service && s.region != own.region)
             .filter(|s| arrival.regions.contains(&s.region))
-            .filter(|s| self.selector.open(s) > 0)
+            .filter(|s| self.selector.available(s) > 0)
             .cloned()
             .collect();
         if others.is_empty() {
@@ -63,7 +63,7 @@
         // CAST: the remainder is below the length, which is a `usize`.
         let shard = others[(hash(now.0, EndpointId(0)) % others.len() as u64) as usize].clone();
         self.ensure_session(now, view, &shard);
-        let Some(session) = self.sessions.get_mut(&shard).filter(|s| s.up) else {
+        let Some(session) = self.sessions.get_mut(&shard).filter(|s| s.is_up) else {
             return;
         };
         let seq = Seq(session.next_seq);
@@ -102,7 +102,7 @@
 
     /// Moves a request to the remote shard that granted its ask, and withdraws the ask in its
     /// own region.
-    pub(super) fn move_remote(
+    pub(super) fn move_to_remote(
         &mut self,
         now: Millis,
         handle: Handle,
@@ -113,12 +113,12 @@
             return;
         };
         request.remote = None;
-        let home = std::mem::replace(&mut request.shard, shard.clone());
+        let own = std::mem::replace(&mut request.shard, shard.clone());
         if let Stage::Asked(seq) = request.stage {
-            if let Some(session) = self.sessions.get_mut(&home) {
+            if let Some(session) = self.sessions.get_mut(&own) {
                 session.asked.remove(&seq);
             }
-            self.report(now, &home, Report::Withdraw(seq), effects);
+            self.report(now, &own, Report::Withdraw(seq), effects);
         }
     }
 }
--- a/components/coordination/src/dispatcher/selection.rs
+++ b/components/coordination/src/dispatcher/selection.rs
@@ -26,11 +26,11 @@
 /// Divisor of a request's aim, its time to first byte, that gives the longest expected wait
 /// at its preferred shard. Beyond that the scheduler is about to refuse requests, and another
 /// shard is tried.
-const PRESSED_AIM_DIVISOR: u64 = 4;
+const PREFERRED_WAIT_DIVISOR: u64 = 4;
 /// Divisor of a request's aim that gives the longest expected wait at such another shard. The
 /// wait is half of that at the preferred shard, so that requests don't move away from their
 /// cached prompt parts where all shards are overloaded.
-const FREE_AIM_DIVISOR: u64 = 8;
+const OTHER_WAIT_DIVISOR: u64 = 8;
 /// Time in which a measured wait loses half of its weight, in milliseconds: about the time
 /// that a scheduler needs to serve the requests that it has accepted.
 const WAIT_HALF_LIFE_MS: u64 = 200;
@@ -52,7 +52,9 @@
 /// Decaying average of the waits of one customer's requests at one shard.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Wait {
+    /// Average at the time of the last measurement, in milliseconds.
     ms: u64,
+    /// Time of the last measurement.
     at: Millis,
 }
 
@@ -105,7 +107,7 @@
 struct Candidate {
     shard: Shard,
     /// Number of endpoints that take work.
-    open: u32,
+    available: u32,
     /// Hash of the shard, the same at all routers.
     hash: u64,
 }
@@ -119,7 +121,7 @@
     fn rank(&self, key: u64) -> f64 {
         // CAST: 53 bits fit into the mantissa.
         let unit = ((mix(self.hash ^ mix(key)) >> 11) + 1) as f64 / (1_u64 << 53) as f64;
-        -unit.ln() / f64::from(self.open)
+        -unit.ln() / f64::from(self.available)
     }
 }
 
@@ -151,15 +153,15 @@
     }
 
     /// Number of endpoints of a shard that take work.
-    pub(super) fn open(&self, shard: &Shard) -> usize {
+    pub(super) fn available(&self, shard: &Shard) -> usize {
         let candidates = self.candidates.get(&shard.service);
         let found = candidates.and_then(|all| all.iter().find(|c| c.shard == *shard));
         // CAST: 32 bits fit into a size on every supported target.
-        found.map_or(0, |c| c.open as usize)
+        found.map_or(0, |c| c.available as usize)
     }
 
     /// Applies a change of the endpoints.
-    pub(super) fn follow(&mut self, view: &View) {
+    pub(super) fn update(&mut self, view: &View) {
         self.shards = shards(view);
         self.candidates.clear();
         let services = view.config.services.iter();
@@ -168,13 +170,13 @@
         self.copying = copying.map(|(id, _)| *id).collect();
         let counts = view.endpoint_counts();
         for shard in &self.shards {
-            let open = open(view, &counts, shard);
-            if open == 0 {
+            let available = count_available(view, &counts, shard);
+            if available == 0 {
                 continue;
             }
             let candidate = Candidate {
                 shard: shard.clone(),
-                open,
+                available,
                 hash: hash(shard),
             };
             let all = self.candidates.entry(shard.service).or_default();
@@ -197,7 +199,7 @@
             let assigned = assigned.filter(|s| s.service == *service && is_near(s));
             let assigned = assigned.map(|shard| Candidate {
                 shard: shard.clone(),
-                open: 1,
+                available: 1,
                 hash: hash(shard),
             });
             let mut all: Vec<Candidate> = match self.candidates.get(service) {
@@ -243,24 +245,24 @@
         F: Fn(&Shard) -> State,
     {
         let aim_ms = arrival.aim.since(now);
-        let order = self.order(arrival, &state);
+        let order = self.preferences(arrival, &state);
         let first = order.first()?;
-        let is_pressed = order.len() > 1 && {
-            let here = state(&first.shard);
-            !here.waits_within(now, aim_ms / PRESSED_AIM_DIVISOR)
+        let is_overloaded = order.len() > 1 && {
+            let preferred = state(&first.shard);
+            !preferred.waits_within(now, aim_ms / PREFERRED_WAIT_DIVISOR)
         };
-        if !is_pressed {
+        if !is_overloaded {
             return Some(&first.shard);
         }
         let mut others = order.iter().skip(1);
-        let free = others.find(|c| state(&c.shard).waits_within(now, aim_ms / FREE_AIM_DIVISOR));
+        let free = others.find(|c| state(&c.shard).waits_within(now, aim_ms / OTHER_WAIT_DIVISOR));
         let alive = || order.iter().find(|c| !state(&c.shard).is_lost(now));
         let chosen = free.or_else(alive).unwrap_or(first);
         Some(&chosen.shard)
     }
 
     /// Shards that this router may ask for a request, in order of preference.
-    fn order<F>(&self, arrival: &Arrival, state: &F) -> SmallVec<[&Candidate; 8]>
+    fn preferences<F>(&self, arrival: &Arrival, state: &F) -> SmallVec<[&Candidate; 8]>
     where
         F: Fn(&Shard) -> State,
     {
@@ -268,14 +270,18 @@
         let allowed = all.filter(|c| arrival.regions.contains(&c.shard.region));
         let mut order: SmallVec<[&Candidate; 8]> = allowed.collect();
         keep_one_region(&mut order, &self.location.region);
-        self.keep_within_reach(&mut order);
+        self.keep_reachable(&mut order);
         if order.len() < 2 {
             return order;
         }
         let (key, tokens) = arrival.prompt.shared_prefix();
         let here = order.iter().filter(|c| self.is_local(&c.shard));
-        let stays = here.clone().any(|c| !state(&c.shard).is_busy);
-        if tokens >= AFFINITY_MIN_TOKENS && !(stays && self.copying.contains(&arrival.service)) {
+        let has_spare_engines = here.clone().any(|c| !state(&c.shard).is_busy);
+        // Requests with a long shared prefix go to the same shard from all routers, unless
+        // engines in this data centre have time to copy the prefix from another engine.
+        if tokens >= AFFINITY_MIN_TOKENS
+            && !(has_spare_engines && self.copying.contains(&arrival.service))
+        {
             order.sort_by(|a, b| a.rank(key.into()).total_cmp(&b.rank(key.into())));
             return order;
         }
@@ -298,7 +304,7 @@
     /// Limits the shards to those that this router has sessions with: some cells of its own
     /// data centre, and one shard in each of some others. Routers keep different shards, so
     /// that all shards are used.
-    fn keep_within_reach(&self, all: &mut SmallVec<[&Candidate; 8]>) {
+    fn keep_reachable(&self, all: &mut SmallVec<[&Candidate; 8]>) {
         if all.len() <= LOCAL_CELLS_MAX {
             return;
         }
@@ -322,7 +328,7 @@
 }
 
 /// Number of endpoints of a shard that take work, given the counts of all endpoints.
-fn open(view: &View, counts: &[Count], shard: &Shard) -> u32 {
+fn count_available(view: &View, counts: &[Count], shard: &Shard) -> u32 {
     let service = view.config.services.get(&shard.service).map(|s| &s.name);
     let is_covered = |count: &&Count| {
         let is_here = |data_centre: &Name| *data_centre == count.data_centre;
@@ -331,9 +337,9 @@
             && shard.data_centre.as_ref().is_none_or(is_here)
             && !view.is_evacuated(&count.data_centre)
     };
-    let open: u32 = counts.iter().filter(is_covered).map(|c| c.available).sum();
+    let available: u32 = counts.iter().filter(is_covered).map(|c| c.available).sum();
     let cells = shard.cell.map_or(1, |cell| u32::from(cell.of));
-    open.div_ceil(cells.max(1))
+    available.div_ceil(cells.max(1))
 }
 
 /// Limits the shards to one region: the given one, or the first by name if that has none.
--- a/components/coordination/src/dispatcher/session.rs
+++ b/components/coordination/src/dispatcher/session.rs
@@ -50,7 +50,7 @@
     /// The shard's scheduler, once assigned.
     pub(super) assignment: Option<Assignment>,
     /// Whether a hello was sent over a link that is up.
-    pub(super) up: bool,
+    pub(super) is_up: bool,
     /// When to send the next hello.
     pub(super) hello_at: Option<Millis>,
     /// When the session last went down.
@@ -73,11 +73,11 @@
     /// Number of routers with a session at the scheduler.
     pub(super) routers: u32,
     /// Whether a scheduler has reported the number of routers.
-    pub(super) is_counted: bool,
+    pub(super) has_router_count: bool,
     /// Requests in progress at all routers with a session there.
     pub(super) running: u32,
     /// Average percentage of the shard's engines with a prompt to prefill.
-    busy: u32,
+    busy_percent: u32,
     /// The local scheduler and its session, while there is no other.
     pub(super) local: Option<(Scheduler, LocalSession)>,
     /// Classes of which a request was refused: until when new requests are refused too, and
@@ -115,9 +115,9 @@
             return;
         }
         for part in prompt.parts().filter(|p| p.key != UNSHARED_KEY) {
-            let kept = Cached { endpoint, part };
-            self.sent.retain(|k| *k != kept);
-            self.sent.push_back(kept);
+            let cached = Cached { endpoint, part };
+            self.sent.retain(|c| *c != cached);
+            self.sent.push_back(cached);
         }
         while self.sent.len() > SENT_PARTS_MAX {
             self.sent.pop_front();
@@ -140,7 +140,7 @@
     pub(super) fn new(now: Millis, usage_id: u64) -> Self {
         Session {
             assignment: None,
-            up: false,
+            is_up: false,
             hello_at: None,
             down_since: now,
             up_since: now,
@@ -151,9 +151,9 @@
             usage_id,
             is_acknowledged: false,
             routers: 1,
-            is_counted: false,
+            has_router_count: false,
             running: 0,
-            busy: 0,
+            busy_percent: 0,
             local: None,
             refused: BTreeMap::new(),
             sent: VecDeque::new(),
@@ -162,22 +162,23 @@
 
     /// Whether asks can be sent: to a scheduler, or to the local scheduler.
     pub(super) fn can_ask(&self) -> bool {
-        self.up || self.local.is_some()
+        self.is_up || self.local.is_some()
     }
 
     /// State of the shard for the selection of a shard, for a customer's request.
     pub(super) fn state(&self, now: Millis, customer: CustomerId) -> State {
         let account = self.accounts.get(&customer);
         State {
-            down_since: (!self.up).then_some(self.down_since),
+            down_since: (!self.is_up).then_some(self.down_since),
             wait_ms: account.map_or(0, |a| a.wait.ms(now)),
-            is_busy: self.busy >= BUSY_PERCENT,
+            is_busy: self.busy_percent >= BUSY_PERCENT,
         }
     }
 
     /// Records the percentage of the shard's engines with a prompt to prefill.
     pub(super) fn record_busy(&mut self, percent: u32) {
-        self.busy = (self.busy * (BUSY_AVERAGE_REQUESTS - 1) + percent) / BUSY_AVERAGE_REQUESTS;
+        self.busy_percent =
+            (self.busy_percent * (BUSY_AVERAGE_REQUESTS - 1) + percent) / BUSY_AVERAGE_REQUESTS;
     }
 
     /// Records how long a customer's request waited at the shard, or would have waited, in
@@ -247,7 +248,7 @@
                 return;
             }
         }
-        if session.up {
+        if session.is_up {
             return;
         }
         if session.local.is_none() && now.since(session.down_since) >= LOCAL_AFTER_MS {
@@ -296,7 +297,7 @@
         let Some(session) = self.sessions.get_mut(shard) else {
             return;
         };
-        if let (true, Some(assignment)) = (session.up, &session.assignment) {
+        if let (true, Some(assignment)) = (session.is_up, &session.assignment) {
             effects.push(Effect::Report(assignment.clone(), report));
             return;
         }
@@ -318,8 +319,8 @@
         let Some(session) = self.sessions.get_mut(shard) else {
             return;
         };
-        if session.up {
-            session.up = false;
+        if session.is_up {
+            session.is_up = false;
             session.down_since = now;
         }
         session.local = None;
@@ -334,7 +335,7 @@
             }
             request.stage = Stage::Waiting;
             let key = (request.arrival.service, request.arrival.class);
-            let queue = self.classes.entry(key).or_default();
+            let queue = self.queues.entry(key).or_default();
             queue.asked = queue.asked.saturating_sub(1);
             queue.waiting.push_front(handle);
         }
@@ -375,7 +376,7 @@
         let Some(assignment) = session.assignment.clone() else {
             return;
         };
-        session.up = true;
+        session.is_up = true;
         session.up_since = now;
         let hello = Report::Hello(session.build_hello(held, backoff));
         session.is_acknowledged = false;
