--- a/components/coordination/src/backoff.rs
+++ b/components/coordination/src/backoff.rs
@@ -24,7 +24,7 @@
 }
 
 impl Backoff {
-    /// The backoff of an endpoint that is leaving or has remaining.
+    /// The backoff of an endpoint that is leaving or has left.
     pub fn leaving(endpoint: EndpointId) -> Self {
         Backoff {
             endpoint,
--- a/components/coordination/src/dispatcher/mod.rs
+++ b/components/coordination/src/dispatcher/mod.rs
@@ -345,9 +345,9 @@
         request.stage = Stage::Waiting;
         request.queued_at = now;
         request.cost = 0;
-        let of = Some((class, request.arrival.weight));
+        let charged = Some((class, request.arrival.weight));
         let done = Report::Done(seq, cost, verdict);
-        self.report_charged(now, &shard, of, done, &mut effects);
+        self.report_charged(now, &shard, charged, done, &mut effects);
         self.has_stranded |= self.selector.available(&shard) == 0;
         self.enqueue(handle);
         self.send_asks(now, service, class, &mut effects);
@@ -399,9 +399,9 @@
         let shard = request.shard.clone();
         let arrival = request.arrival;
         self.requests.remove(handle);
-        let of = Some((arrival.class, arrival.weight));
+        let charged = Some((arrival.class, arrival.weight));
         let done = Report::Done(seq, cost, verdict);
-        self.report_charged(now, &shard, of, done, &mut effects);
+        self.report_charged(now, &shard, charged, done, &mut effects);
         effects
     }
 
@@ -433,13 +433,13 @@
     pub fn refuse(&mut self, now: Millis, refusal: Refusal) -> Effects {
         let mut effects = Effects::new();
         let epoch = refusal.epoch;
-        let of = |s: &Session| {
+        let is_current = |s: &Session| {
             s.is_up
                 && s.assignment
                     .as_ref()
                     .is_some_and(|assignment| assignment.epoch == epoch)
         };
-        let found = self.sessions.iter().find(|(_, s)| of(s));
+        let found = self.sessions.iter().find(|(_, s)| is_current(s));
         let Some(shard) = found.map(|(shard, _)| shard.clone()) else {
             return effects;
         };
--- a/components/coordination/src/messages.rs
+++ b/components/coordination/src/messages.rs
@@ -214,7 +214,7 @@
     pub forecast: Forecast,
     /// Virtual service of the customer, excluding requests in progress.
     pub level: u64,
-    /// Lowest virtual service of any customer with waiting requests.
+    /// Lower bound of the virtual service of all customers with waiting requests.
     pub floor: u64,
     /// Routers with a session. A router without a scheduler divides the slots by this number.
     pub routers: u32,
--- a/components/coordination/src/rule.rs
+++ b/components/coordination/src/rule.rs
@@ -27,9 +27,9 @@
 
 /// Returns the first rule that matches, with its index in the list.
 ///
-/// `routes` must have been built from the same rules. A rule without a list of
-/// customers also matches a request without a customer; the caller checks whether the rule
-/// allows anonymous requests.
+/// `routes` must have been built from the same rules. A rule without a list of customers also
+/// matches a request without a customer; whether the rule allows anonymous requests is not
+/// checked here.
 pub fn first_match<'a>(
     rules: &'a [Rule],
     routes: &Routes,
