--- a/components/coordination/src/consensus/core.rs
+++ b/components/coordination/src/consensus/core.rs
@@ -1,7 +1,7 @@
-//! One member: its state, its inputs, and what it wants done.
+//! State and inputs of one member, and the effects that it asks its caller for.
 
 use super::log::{Ballot, Entry, Index, Log, Recovery, Snapshot, Term};
-use super::membership::Newcomers;
+use super::membership::Joins;
 use super::message::{Envelope, Message};
 use super::{ELECTION_JITTER_MS, ELECTION_TIMEOUT_MS, HEARTBEAT_INTERVAL_MS, LEASE_MS};
 use crate::prelude::*;
@@ -9,90 +9,90 @@
 use state::view::Node;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Who may become a member.
+/// Which VMs may join the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// The VMs of the first members alone, with whatever disk they have.
+    /// Only the VMs of the seeds, with any disk.
     Seeds,
-    /// Any VM. A new disk begins a group with the seeds only if `may_bootstrap` says
-    /// that the fleet starts for the first time.
+    /// Any VM. The seeds bootstrap a new group only if `may_bootstrap` is set, that is
+    /// when the fleet starts for the first time.
     Open {
-        /// Whether a new group may begin.
+        /// Whether a new group may be bootstrapped.
         may_bootstrap: bool,
-        /// Voters that the group is to have.
+        /// Target number of voters.
         voters: usize,
     },
 }
 
-/// What a member is at the moment.
+/// Current role of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Its disk is new and no one has admitted it.
+    /// The disk is new and not a member yet.
     Newcomer,
-    /// It follows a leader, or waits for one.
+    /// Follows a leader, or waits for one.
     Follower,
-    /// It asks whether it would be elected.
+    /// Asks the voters whether they would elect it, without opening a new term.
     PreCandidate,
-    /// It stands for election.
+    /// Has opened a new term and asks for votes in it.
     Candidate,
-    /// It leads.
+    /// Leads the current term.
     Leader,
 }
 
-/// Why a record was not taken.
+/// Why a proposed record was refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// Another member leads, if one is known.
+    /// This member does not lead; holds the leader's address if it is known.
     NotLeader(Option<Node>),
-    /// This member leads, but cannot be sure that it still does.
+    /// This member leads, but its lease has expired or its term's first entry is not applied.
     NoLease,
-    /// A change of members is under way.
+    /// An earlier membership change is not committed yet.
     Busy,
 }
 
-/// What a leader knows of another member.
+/// Replication state that a leader keeps for each member.
 #[derive(Clone, Debug)]
 pub(super) struct Progress {
-    /// Last place known to be on its disk.
+    /// Last index known to be on the member's disk.
     pub(super) matched: Index,
-    /// Next place to send.
+    /// Next index to send.
     pub(super) next: Index,
-    /// Leader's time of the latest message that it answered.
-    pub(super) heard: Millis,
-    /// When this leader began to follow it.
-    pub(super) since: Millis,
-    /// Whether entries are under way that it has not answered.
-    pub(super) waiting: bool,
-    /// When they were sent, so that a lost one is sent again.
-    pub(super) sent: Millis,
-    /// Bytes of the snapshot that it has, while it is being sent one.
-    pub(super) install: Option<(Index, u64)>,
+    /// When the leader sent the latest message that the member has answered.
+    pub(super) last_ack: Millis,
+    /// When the leader began to track the member.
+    pub(super) tracked_since: Millis,
+    /// Whether entries or a snapshot chunk are in flight without an answer.
+    pub(super) in_flight: bool,
+    /// When they were sent; they are sent again after a timeout.
+    pub(super) sent_at: Millis,
+    /// Index of the snapshot that is being transferred, and the bytes received so far.
+    pub(super) installing: Option<(Index, u64)>,
 }
 
-/// What a member wants done, in this order: write, sync, send, apply.
+/// Effects that the caller performs in this order: write, sync, send, apply.
 #[derive(Clone, Debug, Default)]
 pub struct Ready {
-    /// Snapshot from a leader that replaces the log.
+    /// Snapshot from the leader that replaces the log.
     pub install: Option<Snapshot>,
-    /// Drop this place and all after it.
+    /// Remove the entry at this index and all after it.
     pub truncate_from: Option<Index>,
     /// Entries to append.
     pub append: Vec<Entry>,
-    /// Term and vote to write.
+    /// Term and vote to persist.
     pub ballot: Option<Ballot>,
-    /// Messages to send once all that is on disk.
+    /// Messages to send after everything above is on disk.
     pub messages: Vec<(Node, Envelope)>,
-    /// Accepted entries to apply.
+    /// Committed entries to apply to the state machine.
     pub committed: Vec<Entry>,
 }
 
 impl Ready {
-    /// Whether there is nothing to do.
+    /// Whether there is no effect to perform.
     pub fn is_empty(&self) -> bool {
         !self.must_sync() && self.messages.is_empty() && self.committed.is_empty()
     }
 
-    /// Whether anything must reach the disk before the messages are sent.
+    /// Whether anything must be synced to disk before the messages are sent.
     pub fn must_sync(&self) -> bool {
         self.install.is_some()
             || self.truncate_from.is_some()
@@ -101,7 +101,7 @@
     }
 }
 
-/// One member of the agreement.
+/// One member of the Raft group, without I/O.
 pub struct Core {
     pub(super) me: Member,
     pub(super) seeds: Vec<Node>,
@@ -114,13 +114,16 @@
     pub(super) applied: Index,
     pub(super) votes: BTreeSet<DiskId>,
     pub(super) progress: BTreeMap<DiskId, Progress>,
-    pub(super) heard_leader: Option<Millis>,
-    /// When this process started.
+    /// When the current or an earlier leader last sent a message.
+    pub(super) leader_contact: Option<Millis>,
+    /// When this process started; see [`Core::allows_election`].
     pub(super) started: Millis,
-    pub(super) election_at: Millis,
-    pub(super) beat_at: Millis,
-    pub(super) began: Option<Index>,
-    pub(super) newcomers: Newcomers,
+    pub(super) election_deadline: Millis,
+    pub(super) next_heartbeat: Millis,
+    /// Index of the first entry of this member's own term, while it leads.
+    pub(super) term_start: Option<Index>,
+    pub(super) joins: Joins,
+    /// Snapshot that is being received: its index and the bytes so far.
     pub(super) incoming: Option<(Index, Vec<u8>)>,
     pub(super) ready: Ready,
     clock: Millis,
@@ -128,18 +131,18 @@
 }
 
 impl Core {
-    /// A member with what its disk held. `seeds` are the places of the first
-    /// members, this one among them.
-    pub fn new(me: Member, seeds: Vec<Node>, start: Recovery, now: Millis) -> Self {
-        let snapshot_index = start.snapshot.index;
-        let log = Log::new(start.snapshot, start.entries);
+    /// Creates a member from the state recovered from its disk. `seeds` are the addresses
+    /// of the first members, including this one.
+    pub fn new(me: Member, seeds: Vec<Node>, recovery: Recovery, now: Millis) -> Self {
+        let snapshot_index = recovery.snapshot.index;
+        let log = Log::new(recovery.snapshot, recovery.entries);
         let newcomer = log.members().1.voters.is_empty();
         let random = me.disk.0 | 1;
         let mut core = Core {
             me,
             seeds,
             admission: Admission::Seeds,
-            ballot: start.ballot,
+            ballot: recovery.ballot,
             log,
             role: if newcomer {
                 Role::Newcomer
@@ -151,12 +154,12 @@
             applied: snapshot_index,
             votes: BTreeSet::new(),
             progress: BTreeMap::new(),
-            heard_leader: None,
+            leader_contact: None,
             started: now,
-            election_at: now,
-            beat_at: now,
-            began: None,
-            newcomers: Newcomers::default(),
+            election_deadline: now,
+            next_heartbeat: now,
+            term_start: None,
+            joins: Joins::default(),
             incoming: None,
             ready: Ready::default(),
             clock: now,
@@ -166,115 +169,117 @@
         core
     }
 
-    /// Sets who may become a member besides the VMs of the first ones.
+    /// Sets which VMs besides the seeds may join.
     pub fn set_admission(&mut self, admission: Admission) {
         self.admission = admission;
     }
 
-    /// Changes the places where a newcomer calls.
+    /// Replaces the addresses to which a new disk sends join requests.
     pub fn set_seeds(&mut self, seeds: Vec<Node>) {
         self.seeds = seeds;
     }
 
-    /// What it is.
+    /// Current role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Its term.
+    /// Current term.
     pub fn term(&self) -> Term {
         self.ballot.term
     }
 
-    /// Identity of its disk.
+    /// Identity of this member's disk.
     pub fn disk(&self) -> DiskId {
         self.me.disk
     }
 
-    /// Its term and vote.
+    /// Current term and the vote in it.
     pub fn ballot(&self) -> Ballot {
         self.ballot
     }
 
-    /// Last place that was given out to be applied.
+    /// Last index handed out to be applied.
     pub fn applied(&self) -> Index {
         self.applied
     }
 
-    /// Whether it leads with a lease, or has heard from a leader of late.
+    /// Whether this member leads with a valid lease, or has recently heard from a leader.
     pub fn has_leader_contact(&self, now: Millis) -> bool {
         match self.role {
             Role::Leader => self.may_serve(now),
-            _ => (self.heard_leader).is_some_and(|at| now.since(at) < 2 * ELECTION_TIMEOUT_MS),
+            _ => (self.leader_contact).is_some_and(|at| now.since(at) < 2 * ELECTION_TIMEOUT_MS),
         }
     }
 
-    /// Last accepted place that it knows.
+    /// Last index known to be committed.
     pub fn commit(&self) -> Index {
         self.commit
     }
 
-    /// Its log.
+    /// The log.
     pub fn log(&self) -> &Log {
         &self.log
     }
 
-    /// Members in force.
+    /// Current members.
     pub fn members(&self) -> &Members {
         self.log.members().1
     }
 
-    /// Node of the leader, if one is known.
+    /// Address of the leader, if one is known.
     pub fn leader(&self) -> Option<Node> {
         let leader = self.leader?;
         let found = self.members().all().find(|m| m.disk == leader);
         found.map(|m| m.node.clone())
     }
 
-    /// Whether it leads, has applied all that was accepted before its term, and
-    /// a quorum has heard from it within the lease.
+    /// Whether this member may answer as leader: it has applied everything committed before
+    /// its term, and a quorum has answered it within the lease.
     ///
-    /// Without the lease a leader cut off in silence would go on to answer from
-    /// a state that others have left behind: one would see a router learn an
-    /// older version after a newer one.
+    /// Without the lease, a partitioned leader would keep answering from stale state, and a
+    /// router could see an older version after a newer one.
     pub fn may_serve(&self, now: Millis) -> bool {
-        let began = self.began.is_some_and(|b| self.applied >= b);
-        self.role == Role::Leader && began && self.lease_until().is_some_and(|until| now < until)
+        let has_caught_up = self.term_start.is_some_and(|start| self.applied >= start);
+        self.role == Role::Leader
+            && has_caught_up
+            && self.lease_until().is_some_and(|until| now < until)
     }
 
-    /// Proposes a record; gives its place.
+    /// Appends a record to the log and returns its index.
     ///
     /// # Errors
     ///
-    /// [`Refusal`] when this member does not lead for certain.
+    /// [`Refusal`] if this member is not a leader with a valid lease, or if the record changes
+    /// the members while another such change is pending.
     pub fn propose(&mut self, now: Millis, record: Record) -> Result<Index, Refusal> {
-        self.clock(now);
+        self.advance_clock(now);
         if self.role != Role::Leader {
             return Err(Refusal::NotLeader(self.leader()));
         }
         if !self.may_serve(now) {
             return Err(Refusal::NoLease);
         }
-        if matches!(record, Record::Members(_)) && self.members_busy() {
+        if matches!(record, Record::Members(_)) && self.membership_change_pending() {
             return Err(Refusal::Busy);
         }
         Ok(self.append(record))
     }
 
-    /// Takes a message. `place` is where the sender is known to be.
-    pub fn step(&mut self, now: Millis, place: &Node, envelope: Envelope) {
-        self.clock(now);
+    /// Handles a message. `node` is the authenticated sender.
+    pub fn step(&mut self, now: Millis, node: &Node, envelope: Envelope) {
+        self.advance_clock(now);
         let Envelope { from, to, message } = envelope;
-        if to.is_some_and(|to| to != self.me.disk) || !self.is_from(place, from) {
+        if to.is_some_and(|to| to != self.me.disk) || !self.is_from(node, from) {
             return;
         }
         match message {
-            Message::Join(join) => self.on_join(now, place, *join),
+            Message::Join(join) => self.on_join(now, node, *join),
             Message::PreVote {
                 term,
                 last,
                 last_term,
-            } => self.on_pre_vote(now, place, from, term, (last_term, last)),
+            } => self.on_pre_vote(now, node, from, term, (last_term, last)),
             Message::PreVoteReply { term, granted } => {
                 self.on_pre_vote_reply(now, from, term, granted);
             }
@@ -282,23 +287,23 @@
                 term,
                 last,
                 last_term,
-            } => self.on_vote(now, place, from, term, (last_term, last)),
+            } => self.on_vote(now, node, from, term, (last_term, last)),
             Message::VoteReply { term, granted } => self.on_vote_reply(now, from, term, granted),
-            message => self.step_replication(now, place, from, message),
+            message => self.step_replication(now, node, from, message),
         }
     }
 
-    /// Whether a message of a disk comes from where that disk is, as far as it is
-    /// known. The link certifies the VM, not the disk: without this, one VM could
-    /// vote for all.
-    fn is_from(&self, place: &Node, from: DiskId) -> bool {
+    /// Whether a message in the name of a disk comes from the VM of that disk, if the disk is
+    /// known. The link authenticates the VM, not the disk: without this check one VM could
+    /// vote for all others.
+    fn is_from(&self, node: &Node, from: DiskId) -> bool {
         let member = self.members().all().find(|m| m.disk == from);
-        member.is_none_or(|m| m.node.vm == place.vm)
+        member.is_none_or(|m| m.node.vm == node.vm)
     }
 
-    /// Lets time pass.
+    /// Performs what is due at `now`: elections, heartbeats, join requests.
     pub fn tick(&mut self, now: Millis) {
-        self.clock(now);
+        self.advance_clock(now);
         match self.role {
             Role::Newcomer => self.tick_newcomer(now),
             Role::Leader => self.tick_leader(now),
@@ -306,11 +311,11 @@
         }
     }
 
-    /// Takes what is to be done. The caller writes and syncs, then calls
+    /// Returns the pending effects. The caller writes and syncs, then calls
     /// [`Core::synced`], then sends, then applies.
     pub fn ready(&mut self) -> Ready {
         if self.role == Role::Leader {
-            self.send_entries_soon();
+            self.send_missing_entries();
         }
         let mut ready = std::mem::take(&mut self.ready);
         while self.applied < self.commit {
@@ -323,7 +328,7 @@
         ready
     }
 
-    /// Notes that everything up to a place is on this member's disk.
+    /// Records that this member's disk holds everything up to `upto`.
     pub fn synced(&mut self, upto: Index) {
         if self.role != Role::Leader {
             return;
@@ -334,12 +339,13 @@
         self.advance_commit();
     }
 
-    /// Notes that the caller has written a snapshot of the applied state.
+    /// Records that the caller has written a snapshot of the applied state.
     pub fn compact(&mut self, snapshot: Snapshot) {
         self.log.compact(snapshot);
     }
 
-    pub(super) fn clock(&mut self, now: Millis) {
+    /// Advances the clock, which never runs backwards.
+    pub(super) fn advance_clock(&mut self, now: Millis) {
         self.clock = self.clock.max(now);
     }
 
@@ -348,11 +354,12 @@
         self.clock
     }
 
-    /// Whether the members changed in an entry that is not accepted yet.
-    pub(super) fn members_busy(&self) -> bool {
+    /// Whether the latest membership change is not committed yet.
+    pub(super) fn membership_change_pending(&self) -> bool {
         self.log.members().0 > self.commit
     }
 
+    /// Appends a record of this leader's term and returns its index.
     pub(super) fn append(&mut self, record: Record) -> Index {
         let entry = Entry {
             term: self.ballot.term,
@@ -366,40 +373,44 @@
             self.log.get(index).map(|e| &e.record),
             Some(Record::Members(_))
         ) {
-            self.follow_members();
+            self.sync_progress();
         }
         index
     }
 
-    pub(super) fn send(&mut self, place: &Node, to: Option<DiskId>, message: Message) {
+    /// Queues a message to a node.
+    pub(super) fn send(&mut self, node: &Node, to: Option<DiskId>, message: Message) {
         let envelope = Envelope {
             from: self.me.disk,
             to,
             message,
         };
-        self.ready.messages.push((place.clone(), envelope));
+        self.ready.messages.push((node.clone(), envelope));
     }
 
-    pub(super) fn votes_here(&self) -> bool {
+    /// Whether this member is a voter.
+    pub(super) fn is_voter(&self) -> bool {
         self.members().votes(self.me.disk)
     }
 
+    /// Restarts the election timeout with a new random part.
     pub(super) fn reset_election(&mut self, now: Millis) {
-        // A small xorshift, seeded by the disk: members must not stand at once.
+        // Xorshift seeded by the disk, so that members do not all start an election at once.
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
         self.random ^= self.random << 17;
         let jitter = self.random % ELECTION_JITTER_MS;
-        let alone = self.members().voters.len() == 1;
-        // Nobody else can stand, so there is nothing to wait for.
-        let wait = if alone {
+        let is_only_voter = self.members().voters.len() == 1;
+        // No other member can win an election, so there is no reason to wait.
+        let wait = if is_only_voter {
             0
         } else {
             ELECTION_TIMEOUT_MS + jitter
         };
-        self.election_at = now.after(wait);
+        self.election_deadline = now.after(wait);
     }
 
+    /// Becomes a follower in a term, of the leader if it is known.
     pub(super) fn become_follower(&mut self, now: Millis, term: Term, leader: Option<DiskId>) {
         if term > self.ballot.term {
             self.ballot = Ballot { term, vote: None };
@@ -413,42 +424,43 @@
         }
         self.role = Role::Follower;
         self.leader = leader;
-        self.began = None;
+        self.term_start = None;
         self.progress.clear();
         self.votes.clear();
     }
 
     fn tick_leader(&mut self, now: Millis) {
-        // A leader that no quorum answers must not think that it leads.
-        let heard = self.quorum_heard();
-        if heard.is_some_and(|at| now.since(at) > ELECTION_TIMEOUT_MS) {
+        // Check-quorum: a leader that a quorum no longer answers steps down.
+        let last_ack = self.quorum_ack();
+        if last_ack.is_some_and(|at| now.since(at) > ELECTION_TIMEOUT_MS) {
             self.become_follower(now, self.ballot.term, None);
             return;
         }
-        if now >= self.beat_at {
-            self.beat_at = now.after(HEARTBEAT_INTERVAL_MS);
-            self.beat(now);
-            self.tend_members();
+        if now >= self.next_heartbeat {
+            self.next_heartbeat = now.after(HEARTBEAT_INTERVAL_MS);
+            self.send_heartbeats(now);
+            self.advance_membership();
         }
     }
 
-    /// When the latest message was sent that a quorum has answered.
-    fn quorum_heard(&self) -> Option<Millis> {
+    /// Send time of the latest message that a quorum has answered.
+    fn quorum_ack(&self) -> Option<Millis> {
         let members = self.members();
-        let mut heard: SmallVec<[Millis; 5]> = (members.voters.iter())
+        let mut acks: SmallVec<[Millis; 5]> = (members.voters.iter())
             .map(|m| {
                 if m.disk == self.me.disk {
                     Millis(u64::MAX)
                 } else {
-                    self.progress.get(&m.disk).map_or(Millis(0), |p| p.heard)
+                    self.progress.get(&m.disk).map_or(Millis(0), |p| p.last_ack)
                 }
             })
             .collect();
-        heard.sort_unstable_by(|a, b| b.cmp(a));
-        heard.get(members.quorum().checked_sub(1)?).copied()
+        acks.sort_unstable_by(|a, b| b.cmp(a));
+        acks.get(members.quorum().checked_sub(1)?).copied()
     }
 
+    /// When the leader's lease ends.
     pub(super) fn lease_until(&self) -> Option<Millis> {
-        self.quorum_heard().map(|at| at.after(LEASE_MS))
+        self.quorum_ack().map(|at| at.after(LEASE_MS))
     }
 }
--- a/components/coordination/src/consensus/log.rs
+++ b/components/coordination/src/consensus/log.rs
@@ -1,4 +1,4 @@
-//! The log in memory, as the disk has it.
+//! The replicated log in memory; the disk holds the same.
 
 use super::BATCH_ENTRIES_MAX;
 use serde::{Deserialize, Serialize};
@@ -6,14 +6,14 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// A term of office; each has one leader at most.
+/// A Raft term; each term has at most one leader.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Term(pub u64);
 
-/// Place of an entry in the log; the first is 1.
+/// Position of an entry in the log; the first is 1.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -21,7 +21,7 @@
 pub struct Index(pub u64);
 
 impl Index {
-    /// The next place.
+    /// The next position.
     pub fn next(self) -> Self {
         Index(self.0 + 1)
     }
@@ -33,26 +33,27 @@
 pub struct Entry {
     /// Term of the leader that appended it.
     pub term: Term,
-    /// Its place.
+    /// Index of the entry.
     pub index: Index,
-    /// What it says.
+    /// Content of the entry.
     pub record: Record,
 }
 
-/// What must be on disk before any message that follows from it is sent.
+/// Raft's "hard state" without the log: it must be on disk before any message that depends
+/// on it is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Ballot {
     /// Latest term seen.
     pub term: Term,
-    /// Vote given in that term.
+    /// Disk that received this member's vote in that term.
     pub vote: Option<DiskId>,
 }
 
-/// The state up to a place in the log.
+/// The state machine after an entry, which replaces the log up to that entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Last entry that it covers.
+    /// Index of the last entry that the snapshot covers.
     pub index: Index,
     /// Term of that entry.
     pub term: Term,
@@ -62,10 +63,10 @@
     pub bytes: Arc<Vec<u8>>,
 }
 
-/// What the disk held at the start.
+/// What was read from the disk at startup.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovery {
-    /// Term and vote.
+    /// Latest term and vote.
     pub ballot: Ballot,
     /// Latest snapshot.
     pub snapshot: Snapshot,
@@ -73,7 +74,7 @@
     pub entries: Vec<Entry>,
 }
 
-/// A snapshot with the entries after it.
+/// A snapshot and the entries after it.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     snapshot: Snapshot,
@@ -81,7 +82,7 @@
 }
 
 impl Log {
-    /// The log that the disk held.
+    /// Builds the log from a snapshot and the entries after it.
     pub fn new(snapshot: Snapshot, entries: Vec<Entry>) -> Self {
         Log {
             snapshot,
@@ -94,7 +95,7 @@
         &self.snapshot
     }
 
-    /// Place of the last entry.
+    /// Index of the last entry.
     pub fn last(&self) -> Index {
         self.entries.back().map_or(self.snapshot.index, |e| e.index)
     }
@@ -104,7 +105,7 @@
         self.entries.back().map_or(self.snapshot.term, |e| e.term)
     }
 
-    /// Term of the entry at a place, if it is still known.
+    /// Term of the entry at an index, unless the entry was compacted or does not exist.
     pub fn term(&self, index: Index) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -112,35 +113,38 @@
         self.get(index).map(|e| e.term)
     }
 
-    /// The entry at a place, if it is in the log.
+    /// The entry at an index, if the log holds it.
     pub fn get(&self, index: Index) -> Option<&Entry> {
         let offset = index.0.checked_sub(self.snapshot.index.0 + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Entries from a place on, at most `max`.
+    /// Up to `max` entries from an index on.
     pub fn entries_from(&self, index: Index, max: usize) -> Vec<Entry> {
-        self.rest(index).take(max).cloned().collect()
+        self.iter_from(index).take(max).cloned().collect()
     }
 
-    fn rest(&self, index: Index) -> impl Iterator<Item = &Entry> {
+    fn iter_from(&self, index: Index) -> impl Iterator<Item = &Entry> {
         let skip = index.0.saturating_sub(self.snapshot.index.0 + 1);
         let skip = usize::try_from(skip).unwrap_or(usize::MAX);
         self.entries.iter().skip(skip)
     }
 
-    /// Entries from a place on that one message carries.
+    /// Entries from an index on that fit into one message.
     ///
-    /// At most one of them is an operator's: several would together be more than a
-    /// link carries. The message would never leave, and nothing after it be accepted;
-    /// one would see `message-lost` of kind `agree` again and again.
+    /// At most one of them is a large configuration record: several together may exceed the
+    /// size of a frame. Such a message could never be sent, no later entry would be committed,
+    /// and the log would repeat `message-lost` of kind `agree`.
     pub fn batch(&self, index: Index) -> Vec<Entry> {
-        let mut large = 0;
+        let mut large_records = 0;
         let fits = |entry: &&Entry| {
-            large += usize::from(entry.record.is_large());
-            large <= 1
+            large_records += usize::from(entry.record.is_large());
+            large_records <= 1
         };
-        let entries = self.rest(index).take(BATCH_ENTRIES_MAX).take_while(fits);
+        let entries = self
+            .iter_from(index)
+            .take(BATCH_ENTRIES_MAX)
+            .take_while(fits);
         entries.cloned().collect()
     }
 
@@ -149,14 +153,14 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops the entry at a place and all after it.
+    /// Removes the entry at an index and all after it.
     pub fn truncate_from(&mut self, index: Index) {
         let keep = index.0.saturating_sub(self.snapshot.index.0 + 1);
         self.entries
             .truncate(usize::try_from(keep).unwrap_or(usize::MAX));
     }
 
-    /// Takes a snapshot of this log and drops the entries that it covers.
+    /// Stores a snapshot of the applied state and removes the entries that it covers.
     pub fn compact(&mut self, snapshot: Snapshot) {
         while (self.entries.front()).is_some_and(|e| e.index <= snapshot.index) {
             self.entries.pop_front();
@@ -164,13 +168,14 @@
         self.snapshot = snapshot;
     }
 
-    /// Replaces everything by a leader's snapshot.
+    /// Replaces the whole log by a snapshot from the leader.
     pub fn install(&mut self, snapshot: Snapshot) {
         self.entries.clear();
         self.snapshot = snapshot;
     }
 
-    /// The members in force: those of the last such entry, or the snapshot's.
+    /// The current members and the index of their entry. A membership entry is in force as
+    /// soon as it is in the log, even before it is committed.
     pub fn members(&self) -> (Index, &Members) {
         let in_log = self.entries.iter().rev().find_map(|e| match &e.record {
             Record::Members(members) => Some((e.index, &**members)),
@@ -179,7 +184,7 @@
         in_log.unwrap_or((self.snapshot.index, &self.snapshot.members))
     }
 
-    /// The members in force at a place.
+    /// The members that are in force at an index.
     pub fn members_at(&self, index: Index) -> &Members {
         let upto = self.entries.iter().rev().filter(|e| e.index <= index);
         let mut found = upto.filter_map(|e| match &e.record {
--- a/components/coordination/src/consensus/membership.rs
+++ b/components/coordination/src/consensus/membership.rs
@@ -1,4 +1,4 @@
-//! How a group begins, and how a member with a new disk is admitted.
+//! Bootstrap of a group, and changes of its members.
 
 use super::core::{Core, Role};
 use super::log::Index;
@@ -9,62 +9,64 @@
 use state::view::Node;
 use std::collections::BTreeMap;
 
-/// How long a newcomer's call counts, in milliseconds.
-const CALL_MS: u64 = 2000;
-/// Entries by which a learner may lag when it is admitted to vote.
-const LAG_MAX: u64 = 16;
+/// Time for which a join request stays valid, in milliseconds.
+const JOIN_VALID_MS: u64 = 2000;
+/// Most entries by which a learner may lag when it is promoted to voter.
+const PROMOTION_LAG_ENTRIES: u64 = 16;
 
-/// What a newcomer has heard of others like it.
+/// Join requests that a new disk has received, and when to send its own.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Newcomers {
-    /// Latest call of each VM: when, who, and whom it had heard.
-    calls: BTreeMap<Name, (Millis, Member, SmallVec<[Member; 5]>)>,
-    call_at: Millis,
+pub(super) struct Joins {
+    /// Latest request of each VM: its time, its sender, and the disks that the sender had
+    /// heard from.
+    requests: BTreeMap<Name, (Millis, Member, SmallVec<[Member; 5]>)>,
+    next_request_at: Millis,
 }
 
 impl Core {
+    /// Sends join requests to the seeds, and bootstraps the group once that is possible.
     pub(super) fn tick_newcomer(&mut self, now: Millis) {
-        if now < self.newcomers.call_at {
+        if now < self.joins.next_request_at {
             return;
         }
-        self.newcomers.call_at = now.after(JOIN_INTERVAL_MS);
-        let heard = self.heard(now);
+        self.joins.next_request_at = now.after(JOIN_INTERVAL_MS);
+        let heard = self.recent_joiners(now);
         for seed in self.seeds.clone() {
             if seed.vm != self.me.node.vm {
-                self.call(&seed, heard.clone(), false);
+                self.send_join(&seed, heard.clone(), false);
             }
         }
-        self.begin_if_all_new(now);
+        self.bootstrap_if_all_new(now);
     }
 
-    /// Calls like a newcomer when no leader has been heard of for long.
+    /// Sends join requests if there has been no contact with a leader for [`REJOIN_MS`].
     ///
-    /// A member that the others have taken out while it was away is sent nothing
-    /// any more, and its own log still says that it belongs to them. One would
-    /// see it wait for ever, and the group one voter short. A leader that counts
-    /// it ignores the call, any other admits it.
-    pub(super) fn ask_if_forgotten(&mut self, now: Millis) {
-        let quiet = (self.heard_leader).is_none_or(|at| now.since(at) >= REJOIN_MS);
-        if !quiet || now < self.newcomers.call_at {
+    /// A member that was removed while it was away receives no more messages, and its own log
+    /// still lists it as a member. It would wait forever, and the group would be one voter
+    /// short. A leader that still counts it as a member ignores the request; any other leader
+    /// admits it.
+    pub(super) fn rejoin_if_removed(&mut self, now: Millis) {
+        let is_leaderless = (self.leader_contact).is_none_or(|at| now.since(at) >= REJOIN_MS);
+        if !is_leaderless || now < self.joins.next_request_at {
             return;
         }
-        self.newcomers.call_at = now.after(JOIN_INTERVAL_MS);
-        let mut places: SmallVec<[Node; 8]> = self.seeds.iter().cloned().collect();
-        places.extend(self.members().all().map(|m| m.node.clone()));
-        places.sort();
-        places.dedup();
+        self.joins.next_request_at = now.after(JOIN_INTERVAL_MS);
+        let mut nodes: SmallVec<[Node; 8]> = self.seeds.iter().cloned().collect();
+        nodes.extend(self.members().all().map(|m| m.node.clone()));
+        nodes.sort();
+        nodes.dedup();
         let heard: SmallVec<[Member; 5]> = SmallVec::from_iter([self.me.clone()]);
-        for place in places {
-            if place.vm != self.me.node.vm {
-                self.call(&place, heard.clone(), false);
+        for node in nodes {
+            if node.vm != self.me.node.vm {
+                self.send_join(&node, heard.clone(), false);
             }
         }
     }
 
-    /// Newcomers heard of late, this one among them, in the order of their VMs.
-    fn heard(&self, now: Millis) -> SmallVec<[Member; 5]> {
-        let mut heard: SmallVec<[Member; 5]> = (self.newcomers.calls.values())
-            .filter(|(at, _, _)| now.since(*at) < CALL_MS)
+    /// New disks with a valid join request, including this one, ordered by VM.
+    fn recent_joiners(&self, now: Millis) -> SmallVec<[Member; 5]> {
+        let mut heard: SmallVec<[Member; 5]> = (self.joins.requests.values())
+            .filter(|(at, _, _)| now.since(*at) < JOIN_VALID_MS)
             .map(|(_, member, _)| member.clone())
             .collect();
         heard.push(self.me.clone());
@@ -72,7 +74,9 @@
         heard
     }
 
-    pub(super) fn on_join(&mut self, now: Millis, place: &Node, join: Join) {
+    /// Handles a join request, its answer by a group that has bootstrapped, or a request that
+    /// another member has forwarded.
+    pub(super) fn on_join(&mut self, now: Millis, node: &Node, join: Join) {
         let Join {
             member,
             heard,
@@ -82,30 +86,29 @@
             Admission::Seeds => self.seeds.contains(&member.node),
             Admission::Open { .. } => true,
         };
-        // A member passes a newcomer's call on; anyone else speaks for itself.
-        let passed_on = self.members().all().any(|m| m.node.vm == place.vm);
-        if !allowed || (member.node != *place && !passed_on) {
+        // Only a member may forward the request of another node.
+        let is_forwarded = self.members().all().any(|m| m.node.vm == node.vm);
+        if !allowed || (member.node != *node && !is_forwarded) {
             return;
         }
         match self.role {
             Role::Newcomer if !self.seeds.contains(&member.node) => {}
             Role::Newcomer if began && heard.iter().any(|m| m.disk == self.me.disk) => {
-                self.begin(now, heard);
+                self.bootstrap(now, heard);
             }
             Role::Newcomer => {
                 let vm = member.node.vm.clone();
-                self.newcomers.calls.insert(vm, (now, member, heard));
-                self.begin_if_all_new(now);
+                self.joins.requests.insert(vm, (now, member, heard));
+                self.bootstrap_if_all_new(now);
             }
-            Role::Leader => self.admit(member),
-            // Those who have begun need not be told: two of them would go on
-            // telling each other for ever.
+            Role::Leader => self.add_learner(member),
+            // No answer to an answer: two members would keep answering each other.
             _ if began => {}
-            _ if self.began_with(member.disk) => {
+            _ if self.is_founding_disk(member.disk) => {
                 let began = self.log.members_at(Index(0)).voters.clone();
-                self.call(&member.node, began, true);
+                self.send_join(&member.node, began, true);
             }
-            _ if member.node == *place => self.pass_on(Join {
+            _ if member.node == *node => self.forward_join(Join {
                 member,
                 heard,
                 began,
@@ -114,61 +117,61 @@
         }
     }
 
-    /// Whether the group began with a disk, as far as this member still knows.
-    fn began_with(&self, disk: DiskId) -> bool {
-        let knows = self.log.snapshot().index == Index(0);
-        knows && self.log.members_at(Index(0)).votes(disk)
+    /// Whether a disk is one of the group's first members; false once they are compacted away.
+    fn is_founding_disk(&self, disk: DiskId) -> bool {
+        let is_known = self.log.snapshot().index == Index(0);
+        is_known && self.log.members_at(Index(0)).votes(disk)
     }
 
-    /// Passes a call on to the leader: a newcomer knows only some of the members.
-    fn pass_on(&mut self, join: Join) {
+    /// Forwards a join request to the leader: a new disk knows only some of the members.
+    fn forward_join(&mut self, join: Join) {
         let leader = self.leader().filter(|l| l.vm != self.me.node.vm);
         if let Some(leader) = leader {
             self.send(&leader, None, Message::Join(Box::new(join)));
         }
     }
 
-    /// Begins the group when all its first members are new and all of them have
-    /// heard the same disks.
+    /// Bootstraps the group if all seeds have new disks and have all heard from the same
+    /// disks.
     ///
-    /// If a majority were enough, a group that lost one disk and cannot reach
-    /// another member would begin a second history: one would see accepted
-    /// changes vanish. So all must be there, and all must be new.
-    fn begin_if_all_new(&mut self, now: Millis) {
-        let heard = self.heard(now);
-        let begins = match self.admission {
+    /// If a majority were enough, a group that lost one disk and cannot reach another member
+    /// would start a second history, and committed changes would be lost. So all seeds must be
+    /// present, and all must be new.
+    fn bootstrap_if_all_new(&mut self, now: Millis) {
+        let heard = self.recent_joiners(now);
+        let may_bootstrap = match self.admission {
             Admission::Seeds => true,
-            // A disk that was lost is new as well; only the settings tell it from
-            // one of a fleet that has never run.
+            // A disk that replaces a lost one is new as well; only the settings tell whether
+            // the fleet starts for the first time.
             Admission::Open { may_bootstrap, .. } => {
                 may_bootstrap && self.seeds.contains(&self.me.node)
             }
         };
-        let new = begins && self.members().voters.is_empty();
-        if !new || heard.len() != self.seeds.len() {
+        let is_new = may_bootstrap && self.members().voters.is_empty();
+        if !is_new || heard.len() != self.seeds.len() {
             return;
         }
-        let agree = (self.newcomers.calls.values()).all(|(_, _, theirs)| *theirs == heard);
-        if !agree {
+        let is_unanimous = (self.joins.requests.values()).all(|(_, _, theirs)| *theirs == heard);
+        if !is_unanimous {
             return;
         }
-        self.begin(now, heard);
-        // The others must hear that this one has heard them all. Should that be
-        // lost, their next call is answered with it.
+        self.bootstrap(now, heard);
+        // The others must learn that this disk has heard from all of them. If this message is
+        // lost, their next join request is answered with the same.
         for seed in self.seeds.clone() {
             if seed.vm != self.me.node.vm {
                 let began = self.members().voters.clone();
-                self.call(&seed, began, true);
+                self.send_join(&seed, began, true);
             }
         }
     }
 
-    /// Begins a group with its first members.
+    /// Starts the group with its first members.
     ///
-    /// A disk that the others have begun with, and that was not told before its
-    /// process ended, begins with them: it is the disk that they heard, and has
-    /// promised nothing since. Left out, it would be a voter that never votes.
-    fn begin(&mut self, now: Millis, members: SmallVec<[Member; 5]>) {
+    /// This also applies to a disk that the others have bootstrapped with and whose process
+    /// ended before it learned of it: it is the disk that they heard from, and it has cast no
+    /// vote since. Otherwise it would be a voter that never votes.
+    fn bootstrap(&mut self, now: Millis, members: SmallVec<[Member; 5]>) {
         let mut snapshot = self.log.snapshot().clone();
         snapshot.index = Index(0);
         snapshot.members = Members {
@@ -181,67 +184,74 @@
         self.reset_election(now);
     }
 
-    /// Calls another member, with whom this one has heard or began.
-    fn call(&mut self, place: &Node, heard: SmallVec<[Member; 5]>, began: bool) {
+    /// Sends a join request with the disks that this one has heard from or bootstrapped with.
+    fn send_join(&mut self, node: &Node, heard: SmallVec<[Member; 5]>, began: bool) {
         let member = self.me.clone();
         let join = Join {
             member,
             heard,
             began,
         };
-        self.send(place, None, Message::Join(Box::new(join)));
+        self.send(node, None, Message::Join(Box::new(join)));
     }
 
-    /// Admits a newcomer as a learner.
+    /// Adds a new disk as a learner.
     ///
-    /// It must not vote yet: it has forgotten what its old disk promised. If it
-    /// did, it and one other that lacks the latest entries could elect a leader
-    /// without them, and accepted changes would be lost right after a repair.
-    fn admit(&mut self, member: Member) {
+    /// A learner must not vote yet: the votes and entries of the VM's old disk are lost.
+    /// Otherwise it and one more member without the latest entries could elect a leader that
+    /// lacks them, and committed changes would be lost right after a repair.
+    fn add_learner(&mut self, member: Member) {
         let members = self.members().clone();
-        let known = members.all().any(|m| m.disk == member.disk);
-        if known || self.members_busy() || self.began.is_none_or(|b| self.commit < b) {
+        let is_member = members.all().any(|m| m.disk == member.disk);
+        if is_member
+            || self.membership_change_pending()
+            || self.term_start.is_none_or(|start| self.commit < start)
+        {
             return;
         }
         let mut members = members;
-        // A learner that lost its disk again is not coming back.
+        // An earlier learner on the same VM has lost its disk.
         members.learners.retain(|m| m.node.vm != member.node.vm);
         members.learners.push(member);
         self.append(Record::Members(Box::new(members)));
     }
 
-    /// Moves members on, one change at a time: a learner that has caught up
-    /// becomes a voter; then the voter whose disk it replaces leaves.
-    pub(super) fn tend_members(&mut self) {
-        if self.members_busy() || self.began.is_none_or(|b| self.commit < b) {
+    /// Appends the next membership change that is due, one at a time: a learner that has
+    /// caught up becomes a voter, then the voter on the VM's old disk is removed.
+    pub(super) fn advance_membership(&mut self) {
+        if self.membership_change_pending()
+            || self.term_start.is_none_or(|start| self.commit < start)
+        {
             return;
         }
         let members = self.members().clone();
-        if let Some(replaced) = replaced(&members) {
+        if let Some(replaced) = replaced_voter(&members) {
             let mut next = members;
             next.voters.retain(|m| m.disk != replaced);
             self.append(Record::Members(Box::new(next)));
             return;
         }
-        if let Some(gone) = self.gone(&members) {
+        if let Some(gone) = self.lost_voter(&members) {
             let mut next = members;
             next.voters.retain(|m| m.disk != gone);
             self.append(Record::Members(Box::new(next)));
             return;
         }
-        if let Some(ghost) = self.ghost(&members) {
+        if let Some(stale) = self.stale_learner(&members) {
             let mut next = members;
-            next.learners.retain(|m| m.disk != ghost);
+            next.learners.retain(|m| m.disk != stale);
             self.append(Record::Members(Box::new(next)));
             return;
         }
         let caught_up = members.learners.iter().position(|m| {
             let matched = self.progress.get(&m.disk).map_or(0, |p| p.matched.0);
-            matched > 0 && matched + LAG_MAX >= self.log.last().0 && matched >= self.commit.0
+            matched > 0
+                && matched + PROMOTION_LAG_ENTRIES >= self.log.last().0
+                && matched >= self.commit.0
         });
-        if let Some(place) = caught_up {
+        if let Some(position) = caught_up {
             let mut next = members;
-            let learner = next.learners.remove(place);
+            let learner = next.learners.remove(position);
             next.voters.push(learner);
             self.append(Record::Members(Box::new(next)));
         }
@@ -249,53 +259,57 @@
 }
 
 impl Core {
-    /// The voter that has been silent for longest, if there are more than wanted.
+    /// The voter that has been silent for longest, if there are more voters than wanted.
     ///
-    /// A VM that is gone for good leaves its place among the voters behind. Once
-    /// its successor votes, four voters need three: the next loss would stop the
-    /// group, which is what the successor was to prevent.
-    fn gone(&self, members: &Members) -> Option<DiskId> {
+    /// A VM that never returns stays in the list of voters. With its successor there are four
+    /// voters with a quorum of three: one more loss would stop the group, which the successor
+    /// is meant to prevent.
+    fn lost_voter(&self, members: &Members) -> Option<DiskId> {
         let Admission::Open { voters, .. } = self.admission else {
             return None;
         };
         if members.voters.len() <= voters {
             return None;
         }
-        let heard = |m: &Member| {
+        let last_ack = |m: &Member| {
             let progress = self.progress.get(&m.disk);
-            progress.map_or(self.now(), |p| p.heard.max(p.since))
+            progress.map_or(self.now(), |p| p.last_ack.max(p.tracked_since))
         };
         let others = members.voters.iter().filter(|m| m.disk != self.me.disk);
-        let silent = others.filter(|m| self.now().since(heard(m)) >= VOTER_LOST_MS);
-        silent.min_by_key(|m| heard(m)).map(|m| m.disk)
+        let silent = others.filter(|m| self.now().since(last_ack(m)) >= VOTER_LOST_MS);
+        silent.min_by_key(|m| last_ack(m)).map(|m| m.disk)
     }
 
-    /// A learner whose VM answers with another disk: its call came late, from a
-    /// disk that is gone.
-    fn ghost(&self, members: &Members) -> Option<DiskId> {
-        let lives = |disk: DiskId| {
-            let heard = self.progress.get(&disk).map(|p| p.heard);
+    /// A learner whose VM answers with another disk: a delayed join request of a lost disk
+    /// has added it.
+    fn stale_learner(&self, members: &Members) -> Option<DiskId> {
+        let is_live = |disk: DiskId| {
+            let last_ack = self.progress.get(&disk).map(|p| p.last_ack);
             disk == self.me.disk
-                || heard.is_some_and(|at| self.now().since(at) < ELECTION_TIMEOUT_MS)
+                || last_ack.is_some_and(|at| self.now().since(at) < ELECTION_TIMEOUT_MS)
         };
-        let other = |learner: &Member| {
-            let same = |m: &&Member| m.node.vm == learner.node.vm && m.disk != learner.disk;
-            members.voters.iter().filter(same).any(|m| lives(m.disk))
+        let has_live_successor = |learner: &Member| {
+            let is_successor = |m: &&Member| m.node.vm == learner.node.vm && m.disk != learner.disk;
+            members
+                .voters
+                .iter()
+                .filter(is_successor)
+                .any(|m| is_live(m.disk))
         };
         members
             .learners
             .iter()
-            .find(|m| other(m) && !lives(m.disk))
+            .find(|m| has_live_successor(m) && !is_live(m.disk))
             .map(|m| m.disk)
     }
 }
 
 /// The older of two voters on the same VM.
-fn replaced(members: &Members) -> Option<DiskId> {
-    let same = |a: &Node, b: &Node| a.vm == b.vm;
+fn replaced_voter(members: &Members) -> Option<DiskId> {
+    let is_same_vm = |a: &Node, b: &Node| a.vm == b.vm;
     members.voters.iter().enumerate().find_map(|(i, old)| {
         let later = &members.voters[i + 1..];
-        let double = later.iter().any(|new| same(&new.node, &old.node));
-        double.then_some(old.disk)
+        let is_replaced = later.iter().any(|new| is_same_vm(&new.node, &old.node));
+        is_replaced.then_some(old.disk)
     })
 }
--- a/components/coordination/src/consensus/message.rs
+++ b/components/coordination/src/consensus/message.rs
@@ -1,4 +1,4 @@
-//! Messages between members.
+//! Raft messages between members, with the requests by which a new disk joins.
 
 use super::log::{Entry, Index, Term};
 use serde::{Deserialize, Serialize};
@@ -6,63 +6,63 @@
 use state::clock::Millis;
 use state::record::{DiskId, Member, Members};
 
-/// A newcomer's call.
+/// Request of a disk that is not a member yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Join {
-    /// The caller.
+    /// The disk that wants to join, and its node.
     pub member: Member,
-    /// Newcomers that it has heard, itself among them.
+    /// New disks from which it has received join requests, including itself.
     pub heard: SmallVec<[Member; 5]>,
-    /// Whether these have begun a group.
+    /// Whether the disks in `heard` have bootstrapped a group.
     pub began: bool,
 }
 
-/// A piece of a snapshot.
+/// A chunk of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Install {
-    /// Last entry that the snapshot covers.
+    /// Index of the last entry that the snapshot covers.
     pub index: Index,
     /// Term of that entry.
     pub term: Term,
     /// Members at that entry.
     pub members: Members,
-    /// Offset of this piece in bytes.
+    /// Offset of this chunk in bytes.
     pub offset: u64,
-    /// Length of the whole in bytes.
+    /// Length of the whole snapshot in bytes.
     pub total: u64,
-    /// The piece.
+    /// Bytes of the chunk.
     pub piece: Vec<u8>,
 }
 
-/// What one member says to another.
+/// Content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Message {
-    /// A newcomer calls: it has no log yet.
+    /// Request to join the group, from a disk without a log or a removed member.
     Join(Box<Join>),
-    /// Would you vote for me in `term`? Nothing is promised yet.
+    /// Asks whether the receiver would vote for the sender in `term`; binds neither side.
     PreVote {
-        /// Term that the caller would open.
+        /// Term that the sender would open.
         term: Term,
-        /// Its last entry.
+        /// Index of the sender's last entry.
         last: Index,
         /// Term of that entry.
         last_term: Term,
     },
     /// Answer to [`Message::PreVote`].
     PreVoteReply {
-        /// Term asked about, or a later one that the voter knows.
+        /// The requested term if granted, else the voter's own term.
         term: Term,
-        /// Whether it would.
+        /// Whether the voter would vote for the candidate.
         granted: bool,
     },
-    /// Vote for me in `term`.
+    /// Asks for the receiver's vote in `term`.
     Vote {
         /// The new term.
         term: Term,
-        /// The caller's last entry.
+        /// Index of the candidate's last entry.
         last: Index,
         /// Term of that entry.
         last_term: Term,
@@ -71,54 +71,54 @@
     VoteReply {
         /// The voter's term.
         term: Term,
-        /// Whether it voted so.
+        /// Whether the voter has voted for the candidate.
         granted: bool,
     },
-    /// Entries, or none as a heartbeat.
+    /// Entries to append; without entries a heartbeat.
     Append {
         /// The leader's term.
         term: Term,
-        /// Place before the first entry.
+        /// Index before the first entry.
         prev: Index,
-        /// Term at that place.
+        /// Term of the entry at `prev`.
         prev_term: Term,
-        /// Entries.
+        /// The entries, in order.
         entries: Vec<Entry>,
-        /// Last place that the leader counts as accepted.
+        /// Last index that the leader has committed.
         commit: Index,
-        /// Leader's time at sending, returned in the reply.
+        /// Leader's clock at sending, returned in the reply.
         sent: Millis,
     },
     /// Answer to [`Message::Append`].
     AppendReply {
         /// The follower's term.
         term: Term,
-        /// Last place that is on the follower's disk and agrees, or where it
-        /// would agree when `refused`.
+        /// Last index at which the follower's log matches the leader's. If `refused`, the
+        /// index at which the leader should try next.
         matched: Index,
-        /// Whether the place before the entries did not agree.
+        /// Whether the follower's log has no matching entry at `prev`.
         refused: bool,
-        /// The leader's time at sending.
+        /// `sent` of the answered message.
         sent: Millis,
     },
-    /// A piece of a snapshot.
+    /// A chunk of a snapshot.
     Install {
         /// The leader's term.
         term: Term,
-        /// The piece.
+        /// The chunk.
         install: Box<Install>,
-        /// Leader's time at sending, returned in the reply.
+        /// Leader's clock at sending, returned in the reply.
         sent: Millis,
     },
     /// Answer to [`Message::Install`].
     InstallReply {
         /// The follower's term.
         term: Term,
-        /// Snapshot concerned.
+        /// Index of the snapshot.
         index: Index,
-        /// Bytes that the follower has.
+        /// Bytes of the snapshot that the follower has received.
         offset: u64,
-        /// The leader's time at sending.
+        /// `sent` of the answered message.
         sent: Millis,
     },
 }
@@ -127,10 +127,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Envelope {
-    /// Sender's disk.
+    /// Disk of the sender.
     pub from: DiskId,
-    /// Receiver's disk; `None` when the sender does not know it.
+    /// Disk of the receiver; `None` if the sender does not know it.
     pub to: Option<DiskId>,
-    /// The message.
+    /// Content.
     pub message: Message,
 }
--- a/components/coordination/src/consensus/replication.rs
+++ b/components/coordination/src/consensus/replication.rs
@@ -1,4 +1,4 @@
-//! Replication: entries and snapshots from the leader to the others.
+//! Replication of entries and snapshots from the leader to the other members.
 
 use super::core::{Core, Role};
 use super::log::{Entry, Index, Snapshot, Term};
@@ -10,12 +10,12 @@
 use std::sync::Arc;
 
 impl Core {
-    /// Takes a message of replication. A stale term is answered with ours, a
-    /// later one followed.
+    /// Handles a replication message or its reply. A message of an older term is answered with
+    /// this member's term; a later term is adopted.
     pub(super) fn step_replication(
         &mut self,
         now: Millis,
-        place: &Node,
+        node: &Node,
         from: DiskId,
         message: Message,
     ) {
@@ -35,7 +35,7 @@
                     refused: matched.is_err(),
                     sent,
                 };
-                self.send(place, Some(from), reply);
+                self.send(node, Some(from), reply);
             }
             Message::Install {
                 term,
@@ -51,14 +51,14 @@
                     offset,
                     sent,
                 };
-                self.send(place, Some(from), reply);
+                self.send(node, Some(from), reply);
             }
             Message::AppendReply {
                 term,
                 matched,
                 refused,
                 sent,
-            } if self.hears(now, from, term, sent) => {
+            } if self.accept_reply(now, from, term, sent) => {
                 self.on_append_reply(from, matched, refused);
             }
             Message::InstallReply {
@@ -66,26 +66,26 @@
                 index,
                 offset,
                 sent,
-            } if self.hears(now, from, term, sent) => {
+            } if self.accept_reply(now, from, term, sent) => {
                 self.on_install_reply(from, index, offset);
             }
             _ => {}
         }
     }
 
-    /// Follows a leader's message; false if its term is over.
-    fn obey(&mut self, now: Millis, from: DiskId, term: Term) -> bool {
+    /// Follows the leader that has sent a message; returns false if its term is over.
+    fn accept_leader(&mut self, now: Millis, from: DiskId, term: Term) -> bool {
         if term < self.ballot.term {
             return false;
         }
         self.become_follower(now, term, Some(from));
-        self.heard_leader = Some(now);
+        self.leader_contact = Some(now);
         self.reset_election(now);
         true
     }
 
-    /// Takes entries. Gives the last place that agrees, or as an error where
-    /// the leader should try next.
+    /// Appends entries. Returns the last index that matches the leader's log, or as an error
+    /// the index at which the leader should try next.
     fn on_append(
         &mut self,
         now: Millis,
@@ -95,16 +95,16 @@
         entries: Vec<Entry>,
         commit: Index,
     ) -> Result<Index, Index> {
-        if !self.obey(now, from, term) {
+        if !self.accept_leader(now, from, term) {
             return Err(self.log.last());
         }
         let start = self.log.snapshot().index;
         if self.members().voters.is_empty() && prev == Index(0) {
-            // The first members stand in no entry, only in the first snapshot.
+            // The first members are in no entry, only in the first snapshot.
             return Err(Index(0));
         }
         if prev < start {
-            // What a snapshot covers is accepted, and so agrees.
+            // Entries that a snapshot covers are committed, so they match.
             return Err(start);
         }
         if self.log.term(prev) != Some(prev_term) {
@@ -116,7 +116,7 @@
             matched = entry.index;
             match self.log.term(entry.index) {
                 Some(term) if term == entry.term => continue,
-                Some(_) => self.cut(entry.index),
+                Some(_) => self.truncate(entry.index),
                 None => {}
             }
             self.log.push(entry.clone());
@@ -126,26 +126,27 @@
         Ok(matched)
     }
 
-    fn cut(&mut self, index: Index) {
+    /// Removes an entry and all after it, also from the pending effects.
+    fn truncate(&mut self, index: Index) {
         self.log.truncate_from(index);
         self.ready.append.retain(|e| e.index < index);
         let earlier = self.ready.truncate_from.unwrap_or(index);
         self.ready.truncate_from = Some(earlier.min(index));
     }
 
-    /// Takes a piece of a snapshot; gives the bytes that it has by now.
+    /// Handles a chunk of a snapshot; returns the number of bytes received so far.
     fn on_install(&mut self, now: Millis, from: DiskId, term: Term, install: Install) -> u64 {
-        if !self.obey(now, from, term) {
+        if !self.accept_leader(now, from, term) {
             return 0;
         }
-        let known = !self.members().voters.is_empty();
-        if known && install.index <= self.commit {
+        let is_member = !self.members().voters.is_empty();
+        if is_member && install.index <= self.commit {
             return install.total;
         }
-        if known && self.log.term(install.index) == Some(install.term) {
-            // The log reaches further than a late snapshot. Replacing it would
-            // drop entries that this member has acknowledged: one would see two
-            // records accepted at one place.
+        if is_member && self.log.term(install.index) == Some(install.term) {
+            // The log already reaches past this delayed snapshot. Replacing the log would drop
+            // entries that this member has acknowledged, and two records could be committed at
+            // one index.
             self.commit = install.index;
             return install.total;
         }
@@ -155,16 +156,16 @@
         };
         // CAST: `usize` is at most 64 bits on every supported target.
         if buffer.len() as u64 != install.offset {
-            let have = buffer.len() as u64;
+            let received = buffer.len() as u64;
             self.incoming = Some((install.index, buffer));
-            return have;
+            return received;
         }
         let mut buffer = buffer;
         buffer.extend_from_slice(&install.piece);
-        let have = buffer.len() as u64;
-        if have < install.total {
+        let received = buffer.len() as u64;
+        if received < install.total {
             self.incoming = Some((install.index, buffer));
-            return have;
+            return received;
         }
         let snapshot = Snapshot {
             index: install.index,
@@ -178,11 +179,11 @@
         self.ready.append.clear();
         self.ready.truncate_from = None;
         self.ready.install = Some(snapshot);
-        have
+        received
     }
 
-    /// Whether a reply counts: it is of this term, from a member.
-    fn hears(&mut self, now: Millis, from: DiskId, term: Term, sent: Millis) -> bool {
+    /// Records a reply; returns false unless it is of this leader's term and from a member.
+    fn accept_reply(&mut self, now: Millis, from: DiskId, term: Term, sent: Millis) -> bool {
         if term > self.ballot.term {
             self.become_follower(now, term, None);
             return false;
@@ -193,11 +194,12 @@
         let Some(progress) = self.progress.get_mut(&from) else {
             return false;
         };
-        progress.heard = progress.heard.max(sent);
-        progress.waiting = false;
+        progress.last_ack = progress.last_ack.max(sent);
+        progress.in_flight = false;
         true
     }
 
+    /// Updates a member's progress, and commits what a quorum holds.
     fn on_append_reply(&mut self, from: DiskId, matched: Index, refused: bool) {
         let last = self.log.last();
         let Some(progress) = self.progress.get_mut(&from) else {
@@ -205,44 +207,45 @@
         };
         if refused {
             if matched.max(progress.matched) == Index(0) {
-                // It has nothing at all: it starts from the snapshot.
+                // The member's log is empty, so it needs the snapshot first.
                 progress.next = Index(0);
                 return;
             }
-            // Never below what is known to agree: a late refusal must not undo it.
+            // Never below the known match: a delayed refusal must not undo it.
             progress.next = matched.max(progress.matched).next().min(last.next());
             return;
         }
-        progress.install = None;
+        progress.installing = None;
         progress.matched = progress.matched.max(matched);
         progress.next = progress.next.max(matched.next());
         self.advance_commit();
     }
 
+    /// Updates how much of the snapshot a member has received.
     fn on_install_reply(&mut self, from: DiskId, index: Index, offset: u64) {
         let snapshot = self.log.snapshot();
         let total = snapshot.bytes.len() as u64;
-        let current = snapshot.index == index;
+        let is_current = snapshot.index == index;
         let Some(progress) = self.progress.get_mut(&from) else {
             return;
         };
-        if !current {
-            progress.install = None;
+        if !is_current {
+            progress.installing = None;
             return;
         }
         if offset >= total {
-            progress.install = None;
+            progress.installing = None;
             progress.matched = progress.matched.max(index);
             progress.next = progress.matched.next();
             return;
         }
-        progress.install = Some((index, offset));
+        progress.installing = Some((index, offset));
     }
 
-    /// Counts as accepted what is on the disks of a quorum, if this term wrote it.
+    /// Commits the entries that are on the disks of a quorum, if the last one is of this term.
     ///
-    /// An older term's entry on a quorum may still be lost to a later leader;
-    /// it counts only once an entry of this term follows it.
+    /// An entry of an older term may still be replaced by a later leader even if a quorum holds
+    /// it; it is committed only by a later entry of the current term.
     pub(super) fn advance_commit(&mut self) {
         let members = self.members();
         let mut matched: SmallVec<[Index; 5]> = (members.voters.iter())
@@ -260,23 +263,23 @@
         }
     }
 
-    /// Sends everyone a heartbeat, with entries where some are missing.
-    pub(super) fn beat(&mut self, now: Millis) {
-        self.clock(now);
-        for member in self.others() {
+    /// Sends a heartbeat to all other members, with the entries that they lack.
+    pub(super) fn send_heartbeats(&mut self, now: Millis) {
+        self.advance_clock(now);
+        for member in self.other_members() {
             self.send_to(&member, now, true);
         }
     }
 
-    /// Sends entries to whoever lacks some and has answered the last ones.
-    pub(super) fn send_entries_soon(&mut self) {
+    /// Sends entries to members that lack some and have answered the previous ones.
+    pub(super) fn send_missing_entries(&mut self) {
         let now = self.now();
-        for member in self.others() {
+        for member in self.other_members() {
             self.send_to(&member, now, false);
         }
     }
 
-    fn others(&self) -> SmallVec<[Member; 5]> {
+    fn other_members(&self) -> SmallVec<[Member; 5]> {
         let me = self.me.disk;
         (self.members().all())
             .filter(|m| m.disk != me)
@@ -284,39 +287,41 @@
             .collect()
     }
 
-    fn send_to(&mut self, member: &Member, now: Millis, beat: bool) {
+    /// Sends a member the next entries or snapshot chunk; without any of them, a heartbeat if
+    /// `is_heartbeat` is set.
+    fn send_to(&mut self, member: &Member, now: Millis, is_heartbeat: bool) {
         let last = self.log.last();
         let start = self.log.snapshot().index;
         let Some(progress) = self.progress.get_mut(&member.disk) else {
             return;
         };
-        let lost = now.since(progress.sent) > ELECTION_TIMEOUT_MS / 2;
-        let idle = !progress.waiting || lost;
-        let lacks = progress.next <= last;
-        if !(beat || lacks && idle) {
+        let is_lost = now.since(progress.sent_at) > ELECTION_TIMEOUT_MS / 2;
+        let is_idle = !progress.in_flight || is_lost;
+        let lacks_entries = progress.next <= last;
+        if !(is_heartbeat || lacks_entries && is_idle) {
             return;
         }
-        if progress.next <= start && idle {
-            progress.waiting = true;
-            progress.sent = now;
-            let offset = match progress.install {
+        if progress.next <= start && is_idle {
+            progress.in_flight = true;
+            progress.sent_at = now;
+            let offset = match progress.installing {
                 Some((index, offset)) if index == start => offset,
                 _ => 0,
             };
-            let message = self.piece(offset, now);
+            let message = self.install_message(offset, now);
             self.send(&member.node, Some(member.disk), message);
             return;
         }
         let next = progress.next.max(start.next());
         let prev = Index(next.0 - 1);
-        let entries = if idle {
+        let entries = if is_idle {
             self.log.batch(next)
         } else {
             Vec::new()
         };
         if !entries.is_empty() {
-            progress.waiting = true;
-            progress.sent = now;
+            progress.in_flight = true;
+            progress.sent_at = now;
         }
         let message = Message::Append {
             term: self.ballot.term,
@@ -329,7 +334,8 @@
         self.send(&member.node, Some(member.disk), message);
     }
 
-    fn piece(&self, offset: u64, now: Millis) -> Message {
+    /// The snapshot chunk at an offset.
+    fn install_message(&self, offset: u64, now: Millis) -> Message {
         let snapshot = self.log.snapshot();
         let from = usize::try_from(offset).unwrap_or(usize::MAX);
         let from = from.min(snapshot.bytes.len());
