--- a/components/coordination/src/cell.rs
+++ b/components/coordination/src/cell.rs
@@ -1,8 +1,9 @@
-//! Endpoints of single shards, as their schedulers ask for them.
+//! Distribution of endpoints by shard, from the control VMs to the schedulers.
 //!
-//! The load: a list of thousands of endpoints, of which each scheduler needs some hundred and
-//! a router none but those that it is granted. Sent to all, the list and each change of it
-//! would cost every VM what the fleet is.
+//! A fleet may have thousands of endpoints, of which each scheduler needs a few hundred and a
+//! router only those that it was granted. Sending the whole list and each of its changes to
+//! all VMs would make the cost of each VM grow with the fleet, so schedulers poll for the
+//! endpoints of their own shards.
 
 use crate::listing::Registry;
 use crate::prelude::*;
@@ -11,27 +12,29 @@
 use state::view::Shard;
 use std::collections::BTreeMap;
 
-/// Time between two questions of a scheduler, in milliseconds.
+/// Time between two queries for the same shard, in milliseconds.
 pub const POLL_INTERVAL_MS: u64 = 500;
-/// Silence after which it asks another control VM, in milliseconds.
-const SILENCE_MS: u64 = 1600;
-/// Time for which endpoints of a shard that nobody asks for any more are kept ready, in
+/// Time without an answer after which a scheduler queries another control VM, in
 /// milliseconds.
-const UNASKED_MS: u64 = 10_000;
+const ANSWER_TIMEOUT_MS: u64 = 1600;
+/// Time after the last query for a shard for which a control VM keeps its endpoints, in
+/// milliseconds.
+const PAGE_IDLE_MS: u64 = 10_000;
 
-/// What a scheduler is answered.
+/// Answer to a [`Query`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Answer {
-    /// All endpoints of its shard.
+    /// All endpoints of the shard.
     Whole(Listing),
-    /// What has changed since the listing that it has.
+    /// The change since the listing that the scheduler has.
     Change(Change),
-    /// It has the newest listing.
+    /// The scheduler has the current listing.
     #[serde(rename = "kept")]
     Unchanged,
 }
 
+/// Endpoints of one shard.
 #[derive(Clone, Debug)]
 struct Page {
     service: Name,
@@ -40,39 +43,40 @@
     asked: Millis,
 }
 
-/// Endpoints by shard, at a control VM that holds the whole list.
+/// Endpoints by shard, at a control VM that has the whole list.
 #[derive(Clone, Debug)]
 pub struct Catalogue {
     pages: BTreeMap<Shard, Page>,
-    next: u64,
+    next_id: u64,
 }
 
 impl Catalogue {
-    /// One that numbers its listings from `lot` on, which differs between processes.
-    pub fn new(lot: u64) -> Self {
+    /// Creates an empty catalogue. Its listings are numbered from `first_id` on, which differs
+    /// between processes so that their numbers do not collide.
+    pub fn new(first_id: u64) -> Self {
         Catalogue {
             pages: BTreeMap::new(),
-            next: lot,
+            next_id: first_id,
         }
     }
 
-    /// Answers a scheduler that has the listing with the number `known` of its shard, whose
-    /// service has this name; `all` is the whole list.
+    /// Answers a scheduler that has the listing numbered `known_id` of a shard. `service` is the
+    /// name of the shard's service, and `all` the whole list.
     pub fn answer(
         &mut self,
         now: Millis,
         shard: &Shard,
         service: &Name,
         all: &Listing,
-        known: u64,
+        known_id: u64,
     ) -> Answer {
-        let next = &mut self.next;
+        let next_id = &mut self.next_id;
         let page = self.pages.entry(shard.clone()).or_insert_with(|| {
-            *next = next.wrapping_add(1);
-            let of_shard = |l: &&Entry| l.endpoint.service == *service && covers(shard, l);
+            *next_id = next_id.wrapping_add(1);
+            let is_in_shard = |l: &&Entry| l.endpoint.service == *service && covers(shard, l);
             let listing = Listing {
-                id: *next,
-                endpoints: all.endpoints.iter().filter(of_shard).cloned().collect(),
+                id: *next_id,
+                endpoints: all.endpoints.iter().filter(is_in_shard).cloned().collect(),
             };
             Page {
                 service: service.clone(),
@@ -82,34 +86,35 @@
             }
         });
         page.asked = now;
-        if page.listing.id == known {
+        if page.listing.id == known_id {
             Answer::Unchanged
-        } else if page.change.base == known && page.change.id == page.listing.id {
+        } else if page.change.base == known_id && page.change.id == page.listing.id {
             Answer::Change(page.change.clone())
         } else {
             Answer::Whole(page.listing.clone())
         }
     }
 
-    /// Follows a change of the whole list: of what is held by shard only what it concerns.
+    /// Applies a change of the whole list to the shards that it concerns, and drops shards that
+    /// are no longer queried.
     pub fn apply_change(&mut self, now: Millis, change: &Change) {
-        let asked = |page: &Page| now.since(page.asked) < UNASKED_MS;
-        self.pages.retain(|_, page| asked(page));
+        let is_in_use = |page: &Page| now.since(page.asked) < PAGE_IDLE_MS;
+        self.pages.retain(|_, page| is_in_use(page));
         for (shard, page) in &mut self.pages {
-            let is_here = |l: &&Entry| l.endpoint.service == page.service && covers(shard, l);
-            let set: Vec<Entry> = change.set.iter().filter(is_here).cloned().collect();
-            // One that has started again may be of another cell now.
-            let moved = change.set.iter().filter(|l| !is_here(l));
+            let is_in_shard = |l: &&Entry| l.endpoint.service == page.service && covers(shard, l);
+            let set: Vec<Entry> = change.set.iter().filter(is_in_shard).cloned().collect();
+            // An endpoint that has restarted may belong to another cell now.
+            let moved = change.set.iter().filter(|l| !is_in_shard(l));
             let moved = moved.map(|l| &l.endpoint.name).chain(&change.gone);
-            let held = |name: &&Name| page.listing.contains(name);
-            let gone: Vec<Name> = moved.filter(held).cloned().collect();
+            let is_listed = |name: &&Name| page.listing.contains(name);
+            let gone: Vec<Name> = moved.filter(is_listed).cloned().collect();
             if set.is_empty() && gone.is_empty() {
                 continue;
             }
-            self.next = self.next.wrapping_add(1);
+            self.next_id = self.next_id.wrapping_add(1);
             let change = Change {
                 base: page.listing.id,
-                id: self.next,
+                id: self.next_id,
                 set,
                 gone,
             };
@@ -121,91 +126,97 @@
     }
 }
 
-fn covers(shard: &Shard, listed: &Entry) -> bool {
-    shard.covers(listed.id(), &listed.endpoint)
+/// Whether a shard covers an entry of its service.
+fn covers(shard: &Shard, entry: &Entry) -> bool {
+    shard.covers(entry.id(), &entry.endpoint)
 }
 
+/// Polling state of one shard.
 #[derive(Clone, Debug, Default)]
-struct Held {
+struct Subscription {
     registry: Registry,
     asked: Option<Millis>,
-    heard: Option<Millis>,
-    /// Questions that went without an answer.
+    /// When the last answer came or the control VM was changed.
+    answered: Option<Millis>,
+    /// Number of times that a control VM did not answer.
     attempt: usize,
 }
 
-/// What a scheduler wants to know.
+/// A scheduler's query for the endpoints of a shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Query {
-    /// Of which shard.
+    /// The shard.
     pub shard: Shard,
-    /// Number of the listing that it has.
+    /// Number of the listing that the scheduler has.
     pub known_id: u64,
-    /// Which control VM it asks: another one for each that has not answered.
+    /// Selects the control VM: it grows by one for each that has not answered.
     pub attempt: usize,
 }
 
-/// Endpoints of the shards that are scheduled here.
+/// Polls the control VMs for the endpoints of the shards that this process schedules.
 #[derive(Clone, Debug, Default)]
 pub struct Poller {
-    all: BTreeMap<Shard, Held>,
+    all: BTreeMap<Shard, Subscription>,
 }
 
 impl Poller {
-    /// Follows which shards are scheduled here.
+    /// Sets the shards that this process schedules.
     pub fn set_shards<I>(&mut self, shards: I)
     where
         I: IntoIterator<Item = Shard>,
     {
-        let mut before = std::mem::take(&mut self.all);
-        let kept = shards.into_iter().map(|shard| {
-            let held = before.remove(&shard).unwrap_or_default();
-            (shard, held)
+        let mut old = std::mem::take(&mut self.all);
+        let new = shards.into_iter().map(|shard| {
+            let subscription = old.remove(&shard).unwrap_or_default();
+            (shard, subscription)
         });
-        self.all = kept.collect();
+        self.all = new.collect();
     }
 
-    /// Questions that are due.
+    /// Queries that are due now.
     pub fn due_queries(&mut self, now: Millis) -> Vec<Query> {
-        let mut questions = Vec::new();
-        for (shard, held) in &mut self.all {
-            if held
+        let mut queries = Vec::new();
+        for (shard, subscription) in &mut self.all {
+            if subscription
                 .asked
                 .is_some_and(|at| now.since(at) < POLL_INTERVAL_MS)
             {
                 continue;
             }
-            let heard = *held.heard.get_or_insert(now);
-            if now.since(heard) >= SILENCE_MS {
-                held.attempt += 1;
-                held.heard = Some(now);
+            let answered = *subscription.answered.get_or_insert(now);
+            if now.since(answered) >= ANSWER_TIMEOUT_MS {
+                subscription.attempt += 1;
+                subscription.answered = Some(now);
             }
-            held.asked = Some(now);
-            questions.push(Query {
+            subscription.asked = Some(now);
+            queries.push(Query {
                 shard: shard.clone(),
-                known_id: held.registry.listing().id,
-                attempt: held.attempt,
+                known_id: subscription.registry.listing().id,
+                attempt: subscription.attempt,
             });
         }
-        questions
+        queries
     }
 
-    /// Takes an answer; true if it is news.
+    /// Applies an answer; returns true if it has changed the endpoints.
     pub fn apply_answer(&mut self, now: Millis, shard: &Shard, answer: Answer) -> bool {
-        let Some(held) = self.all.get_mut(shard) else {
+        let Some(subscription) = self.all.get_mut(shard) else {
             return false;
         };
-        held.heard = Some(now);
+        subscription.answered = Some(now);
         match answer {
-            Answer::Whole(listing) => held.registry.apply_listing(now, listing),
-            // One of another listing is asked for again.
-            Answer::Change(change) => held.registry.apply_change(now, &change).unwrap_or(false),
+            Answer::Whole(listing) => subscription.registry.apply_listing(now, listing),
+            // A change of another listing is dropped; the next query asks again.
+            Answer::Change(change) => subscription
+                .registry
+                .apply_change(now, &change)
+                .unwrap_or(false),
             Answer::Unchanged => false,
         }
     }
 
-    /// What is known of the shards' endpoints.
+    /// Registries of the shards' endpoints.
     pub fn registries(&self) -> impl Iterator<Item = &Registry> {
-        self.all.values().map(|held| &held.registry)
+        self.all.values().map(|subscription| &subscription.registry)
     }
 }
--- a/components/coordination/src/listing.rs
+++ b/components/coordination/src/listing.rs
@@ -1,9 +1,10 @@
-//! Who reads the platform's list of endpoints, and what its readings mean.
+//! Local registry of the endpoints that the platform lists, and the schedule for reading them.
 //!
-//! The list bears few calls for the whole fleet, so that one VM reads it and
-//! tells the others: the leading control VM, whose lease decides it. The others wait for
-//! their turn, and take it when news of a reading stays away, also while there is no leader.
-//! A router is told a list that is short; of one that is long, only how many there are where.
+//! The platform's API allows few calls for the whole fleet, so one VM reads the list and sends
+//! it to the others: the leading control VM. The others read it themselves only after they have
+//! received no update for some time, with or without a leader. A short list is sent whole to
+//! all routers; of a long one they receive only the number of endpoints per service and data
+//! centre.
 
 use crate::cell::Answer;
 use crate::prelude::*;
@@ -11,200 +12,205 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Readings in a row that an endpoint must be missing from before it is gone.
+/// Consecutive readings without an endpoint after which it is removed.
 ///
-/// A page that changes while it is read may lack an endpoint that lives.
+/// A page that changes while it is read may lack a live endpoint.
 pub const MISSING_READINGS_MAX: u32 = 2;
-/// Readings that routers leave to the control VMs before they read themselves.
-const ROUTER_TURNS: u64 = 4;
-/// Entries up to which a list is sent to all processes.
+/// Reading intervals without an update after which routers read the list themselves.
+const ROUTER_INTERVALS: u64 = 4;
+/// Most entries of a list that is sent whole to all processes.
 pub const BROADCAST_ENTRIES_MAX: usize = 512;
-/// Entries below which it is sent to all again.
-const WHOLE_AGAIN: usize = 384;
-/// Time for which an endpoint that leaves is remembered once the list lacks it, in
-/// milliseconds: a reader that has older pages may name it again.
-const LEFT_MS: u64 = 60_000;
-/// Entries that are read in a millisecond on average, so that the calls in a second do not
-/// grow with the list.
-const ENTRIES_A_MS: u64 = 10;
-/// Longest time between two readings for this, in milliseconds: what an endpoint's leave may
-/// take to be known.
-const READING_MAX_MS: u64 = 2000;
-/// Readings that a control VM which follows a living leader leaves to it: it may be cut off
-/// from the list alone.
-const LED_TURNS: u64 = 8;
-/// Readings that it leaves to the others where there is no leader.
-const UNLED_TURNS: u64 = 2;
+/// Entries below which a list that was too long is sent whole again.
+const BROADCAST_AGAIN_ENTRIES: usize = 384;
+/// Time for which a draining endpoint is remembered after the list no longer has it, in
+/// milliseconds: a reader with older pages may report it again.
+const DRAINED_MEMORY_MS: u64 = 60_000;
+/// Entries read per millisecond on average, so that the rate of calls does not grow with the
+/// list.
+const ENTRIES_PER_MS: u64 = 10;
+/// Longest reading interval of a long list, in milliseconds: it bounds the time until a drain
+/// is known.
+const INTERVAL_MAX_MS: u64 = 2000;
+/// Reading intervals without an update after which a control VM reads although it follows a
+/// live leader, which may have lost its access to the list.
+const FOLLOWER_INTERVALS: u64 = 8;
+/// Reading intervals without an update after which a control VM reads if there is no leader.
+const LEADERLESS_INTERVALS: u64 = 2;
 
-/// Time in which news of a reading reaches most routers, divided by how many read meanwhile,
-/// in milliseconds: with it between their turns, some five read at once when the control VMs
-/// fall silent, and not all of them.
-const TURN_MS: u64 = 20;
+/// Spacing of the routers' own readings, in milliseconds. An update reaches most routers in
+/// about five times this, so that some five of them read at once after the control VMs fall
+/// silent, and not all.
+const ROUTER_SPACING_MS: u64 = 20;
 
-/// Time that a router waits for someone else's reading, in milliseconds, where the list is
-/// read each `every_ms`, among so many routers.
+/// Time without an update after which a router reads the list, in milliseconds, for a reading
+/// interval of `every_ms`.
 ///
-/// Within one time between readings, 291 routers in turn had a moment of 2 ms each: while
-/// the leader was frozen, the list was asked for 25 times a second.
+/// The spread grows with the number of routers: spread over a single interval, 291 routers
+/// read 2 ms apart, and the list was requested 25 times a second while the leader was frozen.
 pub fn router_read_delay_ms(every_ms: u64, routers: u32, incarnation: u64) -> u64 {
-    let spread_ms = every_ms.max(u64::from(routers) * TURN_MS).max(1);
-    every_ms * ROUTER_TURNS + incarnation % spread_ms
+    let spread_ms = every_ms.max(u64::from(routers) * ROUTER_SPACING_MS).max(1);
+    every_ms * ROUTER_INTERVALS + incarnation % spread_ms
 }
 
-/// What decides how long a process leaves the reading of the list to others.
+/// Kind of process, which decides how soon it reads the list itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reader {
     /// The leading control VM.
     Leader,
-    /// Another control VM, and whether it follows a living leader.
+    /// Another control VM.
     Control {
-        /// Whether it does.
+        /// Whether it follows a live leader.
         follows_leader: bool,
     },
-    /// A router among so many, once that is known.
+    /// A router, with the number of routers once it is known.
     Router(Option<u32>),
 }
 
-/// How much later than was told an endpoint may turn warm before that is news, in
-/// milliseconds: readings of the list lag by different times.
+/// Delay of an endpoint's warm-up time up to which it counts as unchanged, in milliseconds:
+/// readings of the list lag by different times.
 const COLD_JITTER_MS: u64 = 500;
 
-/// What one process knows of the list.
+/// One process's copy of the platform's list.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     listing: Arc<Listing>,
-    /// What the last change was.
+    /// The change that led to `listing`.
     change: Change,
-    /// Counts in place of the entries, where they are too many for all processes.
+    /// Counts that are sent in place of the entries while the list is too long.
     census: Option<Census>,
-    heard: Option<Millis>,
-    /// Endpoints that were once told as leaving, and when the list last had them. None of
-    /// them comes back, but a reader that has older pages may say so.
+    /// When the list was last read, received or confirmed.
+    updated: Option<Millis>,
+    /// Endpoints that were reported as draining, and when the list last had them. None of
+    /// them returns to service, but a reader with older pages may report that.
     leaving: BTreeMap<EndpointId, Millis>,
-    /// When endpoints that are cold will be warm, by this process's clock.
+    /// When cold endpoints will be warm, by this process's clock.
     warm_at: BTreeMap<EndpointId, Millis>,
+    /// Consecutive readings without an endpoint.
     missing: BTreeMap<EndpointId, u32>,
 }
 
 impl Registry {
-    /// Whether this process is to read the list now. `patience` is the time that
-    /// it waits for someone else's reading, in milliseconds.
-    pub fn is_due(&self, now: Millis, patience: u64) -> bool {
-        now.since(self.heard.unwrap_or(Millis(0))) >= patience
+    /// Whether this process should read the list now, because there was no update for
+    /// `delay_ms`.
+    pub fn is_due(&self, now: Millis, delay_ms: u64) -> bool {
+        now.since(self.updated.unwrap_or(Millis(0))) >= delay_ms
     }
 
-    /// Time that a process leaves the reading of the list to others, in milliseconds, where
-    /// it is read each `every_ms`; `None` for one that never reads.
-    pub fn read_delay_ms(&self, reader: Reader, every_ms: u64, lot: u64) -> Option<u64> {
+    /// Time without an update after which a process reads the list, in milliseconds, for a
+    /// reading interval of `every_ms`; `None` if it never reads. `random` is a number that
+    /// differs between processes, and spreads their readings.
+    pub fn read_delay_ms(&self, reader: Reader, every_ms: u64, random: u64) -> Option<u64> {
         // CAST: entries are far below 2^64.
         let entries = self.listing.endpoints.len() as u64;
-        let reading_ms = (entries / ENTRIES_A_MS).min(READING_MAX_MS);
-        let every_ms = every_ms.max(reading_ms);
-        let turn_ms = lot % every_ms.max(1);
+        let interval_ms = (entries / ENTRIES_PER_MS).min(INTERVAL_MAX_MS);
+        let every_ms = every_ms.max(interval_ms);
+        let spread_ms = random % every_ms.max(1);
         match reader {
             Reader::Leader => Some(every_ms),
             Reader::Control {
                 follows_leader: true,
-            } => Some(every_ms * LED_TURNS + turn_ms),
+            } => Some(every_ms * FOLLOWER_INTERVALS + spread_ms),
             Reader::Control {
                 follows_leader: false,
-            } => Some(every_ms * UNLED_TURNS + turn_ms),
-            // Of a list that is not whole here it would be one more reader of all pages.
+            } => Some(every_ms * LEADERLESS_INTERVALS + spread_ms),
+            // A router without the entries would be one more reader of all pages.
             Reader::Router(Some(routers)) if !self.listing.endpoints.is_empty() => {
-                Some(router_read_delay_ms(every_ms, routers, lot))
+                Some(router_read_delay_ms(every_ms, routers, random))
             }
             Reader::Router(_) => None,
         }
     }
 
-    /// The counts, where the list is too long for all processes.
+    /// The counts, if the list is too long to be sent whole.
     pub fn census(&self) -> Option<&Census> {
         self.census.as_ref()
     }
 
-    /// Whether this process has heard of the list within some time, in milliseconds.
+    /// Whether there was an update within the last `within_ms`.
     pub fn is_recent(&self, now: Millis, within_ms: u64) -> bool {
-        self.heard.is_some_and(|at| now.since(at) <= within_ms)
+        self.updated.is_some_and(|at| now.since(at) <= within_ms)
     }
 
-    /// What the last change was.
+    /// The change that led to the current listing.
     pub fn change(&self) -> &Change {
         &self.change
     }
 
-    /// Takes counts in place of a list; true if they are news.
+    /// Replaces the listing by counts; returns true if they have changed.
     pub fn apply_census(&mut self, now: Millis, census: Census) -> bool {
-        let is_news = self.census.as_ref() != Some(&census);
+        let is_changed = self.census.as_ref() != Some(&census);
         *self = Registry {
             census: Some(census),
-            heard: Some(now),
+            updated: Some(now),
             ..Registry::default()
         };
-        is_news
+        is_changed
     }
 
-    /// The newest listing. How long endpoints stay cold is in [`Registry::warm_at`].
+    /// The current listing, without cold times: they are in [`Registry::warm_at`].
     pub fn listing(&self) -> &Arc<Listing> {
         &self.listing
     }
 
-    /// When endpoints that are cold will be warm, by this process's clock.
+    /// When cold endpoints will be warm, by this process's clock.
     pub fn warm_at(&self) -> &BTreeMap<EndpointId, Millis> {
         &self.warm_at
     }
 
-    /// The newest listing as another process is told it now.
+    /// The current listing to send to another process, with the remaining cold times.
     pub fn export(&self, now: Millis) -> Listing {
         let mut listing = (*self.listing).clone();
-        self.tell_cold(now, &mut listing.endpoints);
+        self.set_cold_ms(now, &mut listing.endpoints);
         listing
     }
 
-    /// What the last change was, as another process is told it now.
+    /// The last change to send to another process, with the remaining cold times.
     pub fn export_change(&self, now: Millis) -> Change {
         let mut change = self.change.clone();
-        self.tell_cold(now, &mut change.set);
+        self.set_cold_ms(now, &mut change.set);
         change
     }
 
-    /// An answer to a scheduler as it is told now.
+    /// Adds the remaining cold times to an answer for a scheduler.
     pub fn export_answer(&self, now: Millis, mut answer: Answer) -> Answer {
         match &mut answer {
-            Answer::Whole(listing) => self.tell_cold(now, &mut listing.endpoints),
-            Answer::Change(change) => self.tell_cold(now, &mut change.set),
+            Answer::Whole(listing) => self.set_cold_ms(now, &mut listing.endpoints),
+            Answer::Change(change) => self.set_cold_ms(now, &mut change.set),
             Answer::Unchanged => {}
         }
         answer
     }
 
-    /// Adds to entries how long their endpoints stay cold from now on.
-    fn tell_cold(&self, now: Millis, endpoints: &mut [Entry]) {
-        for listed in endpoints {
-            let warm_at = self.warm_at.get(&listed.id());
+    /// Sets the remaining cold time of each entry.
+    fn set_cold_ms(&self, now: Millis, endpoints: &mut [Entry]) {
+        for entry in endpoints {
+            let warm_at = self.warm_at.get(&entry.id());
             let cold_ms = warm_at.map_or(0, |at| at.since(now));
-            listed.cold_ms = u32::try_from(cold_ms).unwrap_or(u32::MAX);
+            entry.cold_ms = u32::try_from(cold_ms).unwrap_or(u32::MAX);
         }
     }
 
-    /// Puts a listing in force, whose `cold` endpoints have turned cold.
-    fn renew(&mut self, listing: Listing, cold: &BTreeSet<EndpointId>) {
+    /// Replaces the listing. The entries in `cold` are part of the change even if only their
+    /// cold time is new.
+    fn replace(&mut self, listing: Listing, cold: &BTreeSet<EndpointId>) {
         let mut change = listing.diff_from(&self.listing);
         if !cold.is_empty() {
-            let told: BTreeSet<EndpointId> = change.set.iter().map(Entry::id).collect();
-            let turned = listing.endpoints.iter();
-            let turned = turned.filter(|l| cold.contains(&l.id()) && !told.contains(&l.id()));
-            let turned: Vec<Entry> = turned.cloned().collect();
-            change.set.extend(turned);
+            let changed: BTreeSet<EndpointId> = change.set.iter().map(Entry::id).collect();
+            let newly_cold = listing.endpoints.iter();
+            let newly_cold =
+                newly_cold.filter(|l| cold.contains(&l.id()) && !changed.contains(&l.id()));
+            let newly_cold: Vec<Entry> = newly_cold.cloned().collect();
+            change.set.extend(newly_cold);
         }
         self.change = change;
-        self.count(&listing);
+        self.update_census(&listing);
         self.listing = Arc::new(listing);
     }
 
-    /// Counts a listing that is too long for all processes.
-    fn count(&mut self, listing: &Listing) {
+    /// Updates the counts, or drops them if the listing is short enough to be sent whole.
+    fn update_census(&mut self, listing: &Listing) {
         let least = match self.census {
-            Some(_) => WHOLE_AGAIN,
+            Some(_) => BROADCAST_AGAIN_ENTRIES,
             None => BROADCAST_ENTRIES_MAX + 1,
         };
         if listing.endpoints.len() < least {
@@ -219,8 +225,8 @@
         }
     }
 
-    /// Takes what a reading had before it failed: what it lacks says nothing; true if
-    /// anything changed.
+    /// Merges a reading that failed halfway, whose missing entries mean nothing; returns true
+    /// if anything has changed. `draw` is as in [`Registry::apply_reading`].
     pub fn apply_partial_reading(
         &mut self,
         now: Millis,
@@ -229,16 +235,16 @@
     ) -> bool {
         let missing = std::mem::take(&mut self.missing);
         endpoints.extend(self.listing.endpoints.iter().cloned());
-        let is_news = self.apply_reading(now, endpoints, draw);
+        let is_changed = self.apply_reading(now, endpoints, draw);
         self.missing = missing;
-        is_news
+        is_changed
     }
 
-    /// Takes what this process has read; true if anything changed. `draw` is the
-    /// number of the listing if it did.
+    /// Merges a complete reading; returns true if anything has changed. The new listing then
+    /// gets the random number `draw`.
     pub fn apply_reading(&mut self, now: Millis, mut endpoints: Vec<Entry>, draw: u64) -> bool {
-        self.heard = Some(now);
-        let cold = self.note_cold(now, &mut endpoints);
+        self.updated = Some(now);
+        let cold = self.extract_cold(now, &mut endpoints);
         let present: BTreeSet<Name> = (endpoints.iter())
             .map(|l| l.endpoint.name.clone())
             .collect();
@@ -246,7 +252,7 @@
         self.missing.retain(|id, _| !read.contains(id));
         for old in &self.listing.endpoints {
             if present.contains(&old.endpoint.name) {
-                // Its entry here may be of an earlier start: the newest one counts.
+                // The reading may be older than the known entry: the latest start wins.
                 endpoints.push(old.clone());
                 continue;
             }
@@ -261,13 +267,14 @@
                 self.missing.remove(&old.id());
             }
         }
-        // Stable: of one start, what was read now comes first and stays.
+        // The sort is stable: of equal starts, the entry that was just read comes first and is
+        // kept.
         endpoints.sort_by(|a, b| {
             let name = a.endpoint.name.cmp(&b.endpoint.name);
             name.then(b.started_ms.cmp(&a.started_ms))
         });
         endpoints.dedup_by(|next, first| next.endpoint.name == first.endpoint.name);
-        self.mark(&mut endpoints);
+        self.mark_draining(&mut endpoints);
         if endpoints == self.listing.endpoints && cold.is_empty() {
             return false;
         }
@@ -275,80 +282,83 @@
             id: draw,
             endpoints,
         };
-        self.renew(listing, &cold);
+        self.replace(listing, &cold);
         true
     }
 
-    /// Takes what another process has read; true if anything changed.
+    /// Replaces the listing by one from another process; returns true if anything has changed.
     pub fn apply_listing(&mut self, now: Millis, mut listing: Listing) -> bool {
-        self.heard = Some(now);
-        let cold = self.note_cold(now, &mut listing.endpoints);
-        self.mark(&mut listing.endpoints);
+        self.updated = Some(now);
+        let cold = self.extract_cold(now, &mut listing.endpoints);
+        self.mark_draining(&mut listing.endpoints);
         let changed = !cold.is_empty() || listing != *self.listing;
         if listing.endpoints.len() <= BROADCAST_ENTRIES_MAX {
             self.census = None;
         }
         if changed {
-            self.renew(listing, &cold);
+            self.replace(listing, &cold);
         }
         changed
     }
 
-    /// Takes a change that another process tells; true if it is news, `None` if it is one of
-    /// another listing, which has to be asked for.
+    /// Applies a change from another process. Returns whether it was new, or `None` if it is
+    /// based on another listing: the caller then has to request the whole list.
     pub fn apply_change(&mut self, now: Millis, change: &Change) -> Option<bool> {
         if change.id == self.listing.id {
-            self.heard = Some(now);
+            self.updated = Some(now);
             return Some(false);
         }
         let listing = self.listing.with_change(change)?;
         Some(self.apply_listing(now, listing))
     }
 
-    /// Hears that a listing still holds; false if this process has another one.
+    /// Records that a listing is still current; returns false if this process has another one.
     pub fn confirm(&mut self, now: Millis, id: u64) -> bool {
-        let told = self.census.as_ref().map_or(self.listing.id, |c| c.id);
-        let same = told == id || self.listing.id == id;
-        if same {
-            self.heard = Some(now);
+        let current = self.census.as_ref().map_or(self.listing.id, |c| c.id);
+        let is_current = current == id || self.listing.id == id;
+        if is_current {
+            self.updated = Some(now);
         }
-        same
+        is_current
     }
 
-    /// Takes how long endpoints stay cold out of their entries; gives those that stay so for
-    /// longer than was known.
+    /// Moves the cold times out of the entries; returns the endpoints that stay cold for longer
+    /// than was known.
     ///
-    /// The times run down, and readings of them lag: entries that held them would change
-    /// with each reading, and the whole list would go to all processes each time.
-    fn note_cold(&mut self, now: Millis, endpoints: &mut [Entry]) -> BTreeSet<EndpointId> {
+    /// Cold times decrease, and readings of them lag: kept in the entries, they would change
+    /// with each reading, and the whole list would be sent to all processes each time.
+    fn extract_cold(&mut self, now: Millis, endpoints: &mut [Entry]) -> BTreeSet<EndpointId> {
         self.warm_at.retain(|_, at| *at > now);
-        let mut news = BTreeSet::new();
-        for listed in endpoints {
-            let cold_ms = u64::from(std::mem::take(&mut listed.cold_ms));
+        let mut extended = BTreeSet::new();
+        for entry in endpoints {
+            let cold_ms = u64::from(std::mem::take(&mut entry.cold_ms));
             if cold_ms == 0 {
                 continue;
             }
             let warm_at = now.after(cold_ms);
-            let known = self.warm_at.entry(listed.id()).or_insert(Millis(0));
+            let known = self.warm_at.entry(entry.id()).or_insert(Millis(0));
             if warm_at.since(*known) > COLD_JITTER_MS {
                 *known = warm_at;
-                news.insert(listed.id());
+                extended.insert(entry.id());
             }
         }
-        news
+        extended
     }
 
-    fn mark(&mut self, endpoints: &mut [Entry]) {
-        let now = self.heard.unwrap_or_default();
-        for listed in endpoints {
-            let id = listed.id();
-            if listed.leaving {
+    /// Marks the endpoints that have ever been reported as draining, and forgets those that the
+    /// list has not had for a while.
+    fn mark_draining(&mut self, endpoints: &mut [Entry]) {
+        let now = self.updated.unwrap_or_default();
+        for entry in endpoints {
+            let id = entry.id();
+            if entry.leaving {
                 self.leaving.insert(id, now);
             } else if let Some(seen) = self.leaving.get_mut(&id) {
                 *seen = now;
-                listed.leaving = true;
+                entry.leaving = true;
             }
         }
-        self.leaving.retain(|_, seen| now.since(*seen) <= LEFT_MS);
+        self.leaving
+            .retain(|_, seen| now.since(*seen) <= DRAINED_MEMORY_MS);
     }
 }
