--- a/components/coordination/src/lib.rs
+++ b/components/coordination/src/lib.rs
@@ -3,7 +3,7 @@
 //! Nothing here opens a socket, starts a thread, reads a clock or draws a
 //! random number, so that every decision can be driven by a test.
 
-pub mod ask;
+pub mod admission;
 pub mod assignment;
 pub mod backoff;
 pub mod budget;
@@ -12,23 +12,23 @@
 pub mod consensus;
 pub mod dispatcher;
 pub mod engine;
+pub mod failback;
 pub mod health;
-pub mod homes;
-pub mod intake;
+pub mod idle;
 pub mod ledger;
 pub mod limit;
 pub mod listing;
+pub mod messages;
 pub mod overload;
 pub mod platform;
 pub mod prelude;
 pub mod prompt;
-pub mod ramp;
 pub mod recent;
+pub mod regions;
 pub mod reliability;
-pub mod rest;
 pub mod retry;
-pub mod returns;
 pub mod rule;
 pub mod scheduler;
 pub mod slot;
 pub mod tree;
+pub mod warmup;
--- a/components/node/src/platform.rs
+++ b/components/node/src/platform.rs
@@ -2,10 +2,10 @@
 
 use crate::fetch::fetch;
 use crate::input::Input;
-use crate::shared::{raised, Published};
+use crate::shared::{cancelled, Published};
 use coordination::platform::{Change, Entry, Watch};
 use errors::{Error, Result};
-use protocol::wire::{Leaving, Query};
+use protocol::wire::{Drain, Query};
 use settings::Platform;
 use state::line::Line;
 use state::view::View;
@@ -32,7 +32,7 @@
     loop {
         tokio::select! {
             _ = period.tick() => {}
-            () = raised(&mut stop) => return,
+            () = cancelled(&mut stop) => return,
         }
         let list = read(&platform).await;
         if list.is_ok() != reachable {
@@ -69,8 +69,8 @@
 
 async fn announce(reactor: &flume::Sender<Input>, view: &View, change: Change) {
     let (id, leaves) = match change {
-        Change::Leaves(id) => (id, true),
-        Change::Back(id) => (id, false),
+        Change::Leaving(id) => (id, true),
+        Change::Returned(id) => (id, false),
     };
     let Some(endpoint) = view.config.endpoints.get(&id) else {
         return;
@@ -83,12 +83,12 @@
         version = view.version.0,
     );
     let leaving = if leaves {
-        Leaving::Endpoint(name)
+        Drain::Endpoint(name)
     } else {
-        Leaving::EndpointBack(name)
+        Drain::EndpointBack(name)
     };
     let (sender, receiver) = oneshot::channel();
-    let _ = reactor.send(Input::Query(Query::Depart(leaving), sender));
+    let _ = reactor.send(Input::Query(Query::Drain(leaving), sender));
     // Unanswered, it is said again with the next list that tells it.
     let _ = tokio::time::timeout(ACCEPTED, receiver).await;
 }
--- a/components/node/src/reactor/listing.rs
+++ b/components/node/src/reactor/listing.rs
@@ -51,11 +51,11 @@
             Message::Listing(listing) => Some(self.registry.apply_listing(now, *listing)),
             Message::Census(census) => Some(self.registry.apply_census(now, *census)),
             Message::ListingChange(change) => self.registry.apply_change(now, &change),
-            Message::ListingKept(id) => self.registry.confirm(now, id).then_some(false),
+            Message::ListingUnchanged(id) => self.registry.confirm(now, id).then_some(false),
             _ => return,
         };
         let Some(is_news) = news else {
-            self.parts.hub.send(vm, Message::ListingWanted);
+            self.parts.hub.send(vm, Message::ListingRequest);
             return;
         };
         self.listing_heard = Some(now);
@@ -72,7 +72,7 @@
         let is_other = |vm: &&Name| Some(*vm) != from && **vm != self.me;
         let whole = || match changed {
             true => Message::ListingChange(Box::new(self.registry.export_change(now))),
-            false => Message::ListingKept(self.registry.listing().id),
+            false => Message::ListingUnchanged(self.registry.listing().id),
         };
         if from.is_none() && self.parts.control {
             let news = whole();
@@ -82,7 +82,7 @@
         }
         let news = match self.registry.census() {
             None => whole(),
-            Some(census) if census.id == self.told_census => Message::ListingKept(census.id),
+            Some(census) if census.id == self.told_census => Message::ListingUnchanged(census.id),
             Some(census) => Message::Census(Box::new(census.clone())),
         };
         self.told_census = self.registry.census().map_or(0, |census| census.id);
--- a/components/node/src/reactor/mod.rs
+++ b/components/node/src/reactor/mod.rs
@@ -12,17 +12,17 @@
 use crate::inventory::Unknown;
 use crate::journal::Journal;
 use crate::metric::Metrics;
-use crate::quarantine::{Quarantine, Up, Verdicts};
+use crate::quarantine::{Quarantine, Suspicions, Up};
 use crate::query::Queries;
 use crate::schedulers::Schedulers;
 use crate::shared::Published;
 use coordination::backoff::Backoff;
 use coordination::candidacy::Candidacy;
 use coordination::cell::{Catalogue, Poller};
-use coordination::dispatcher::{Bounds, Dispatcher, Effect, Effects, Handle, Home};
+use coordination::dispatcher::{Bounds, Dispatcher, Effect, Effects, Handle, Location};
+use coordination::failback::Failbacks;
 use coordination::listing::Registry;
 use coordination::recent::Recent;
-use coordination::returns::Returns;
 use protocol::wire::{Message, Reply};
 use state::clock::Millis;
 use state::config::{Endpoint, Index};
@@ -62,7 +62,7 @@
     /// milliseconds.
     pub(crate) listing_ms: u64,
     /// Where this VM stands.
-    pub(crate) home: Home,
+    pub(crate) home: Location,
     /// Bounds of the dispatcher.
     pub(crate) bounds: Bounds,
     /// Children to feed.
@@ -80,7 +80,7 @@
     /// Where to publish.
     pub(crate) publish: watch::Sender<Published>,
     /// Where to publish what is done with requests that may crash endpoints.
-    pub(crate) verdicts: watch::Sender<Arc<Verdicts>>,
+    pub(crate) verdicts: watch::Sender<Arc<Suspicions>>,
 }
 
 /// The reactor.
@@ -108,7 +108,7 @@
     /// Shards that have endpoints.
     shards: usize,
     /// Data centres whose evacuation has ended.
-    returns: Returns,
+    returns: Failbacks,
     /// Control VMs as the control role of this process knows them.
     members: Vec<Node>,
     leads: bool,
@@ -189,7 +189,7 @@
             recent: Recent::default(),
             is_recent_used: false,
             shards: 0,
-            returns: Returns::default(),
+            returns: Failbacks::default(),
             members: Vec::new(),
             leads: false,
             is_led: false,
@@ -273,18 +273,18 @@
                     self.leave(now, handle);
                 }
             }
-            Input::Leave(handle) => self.leave(now, handle),
-            Input::Again(handle, verdict, reply) => {
+            Input::Cancel(handle) => self.leave(now, handle),
+            Input::Requeue(handle, verdict, reply) => {
                 self.parts.metrics.retries.inc();
                 let (sender, decided) = oneshot::channel();
                 self.decisions.insert(handle, sender);
-                let effects = self.dispatcher.again(now, handle, verdict);
+                let effects = self.dispatcher.requeue(now, handle, verdict);
                 self.act(now, effects);
                 if reply.send(decided).is_err() {
                     self.leave(now, handle);
                 }
             }
-            Input::Began(handle, took_ms) => {
+            Input::FirstByte(handle, took_ms) => {
                 let effects = self.dispatcher.began(now, handle, took_ms);
                 self.act(now, effects);
             }
@@ -359,7 +359,7 @@
 
     fn leave(&mut self, now: Millis, handle: Handle) {
         self.decisions.remove(&handle);
-        let effects = self.dispatcher.leave(now, handle);
+        let effects = self.dispatcher.cancel(now, handle);
         self.act(now, effects);
     }
 
@@ -391,7 +391,7 @@
     fn message(&mut self, now: Millis, vm: Name, message: Message) {
         match message {
             Message::Hello(_) => {}
-            Message::Agree(_) | Message::Beat { .. } | Message::Query(..) => {
+            Message::Consensus(_) | Message::Heartbeat { .. } | Message::Query(..) => {
                 self.to_control(crate::control::Input::Message(vm, message));
             }
             Message::Reply(id, reply) => self.queries.reply(now, &self.parts.hub, id, reply),
@@ -409,21 +409,21 @@
                 }
             }
             Message::Unsubscribe => self.dissemination.unsubscribe(&vm),
-            Message::Elsewhere(place) => {
+            Message::Redirect(place) => {
                 self.dissemination
                     .elsewhere(now, &self.parts.hub, &vm, place);
             }
-            Message::Pulse(head) => {
+            Message::VersionProof(head) => {
                 self.dissemination.fed(now, &vm);
                 self.dissemination
                     .pulsed(now, &self.parts.hub, &vm, &self.view, head);
                 self.dirty = true;
             }
-            Message::Steps(steps) => {
+            Message::Updates(steps) => {
                 self.dissemination.fed(now, &vm);
                 self.steps(now, Some(&vm), &steps);
             }
-            Message::Whole(view) => {
+            Message::FullView(view) => {
                 self.dissemination.fed(now, &vm);
                 self.whole(now, *view);
             }
@@ -449,29 +449,33 @@
                     self.act(now, effects);
                 }
             }
-            Message::Kept(kept) => self.schedulers.hear_kept(&self.live, &vm, &kept),
+            Message::CachedPrompts(kept) => self.schedulers.hear_kept(&self.live, &vm, &kept),
             Message::Served(served) => self.schedulers.hear_served(&self.live, &served),
             Message::Unassigned(epoch) => self.dispatcher.unassigned(now, epoch),
             Message::Listing(_)
             | Message::ListingChange(_)
-            | Message::ListingKept(_)
+            | Message::ListingUnchanged(_)
             | Message::Census(_) => self.take_listing(now, &vm, message),
-            Message::ListingWanted => self.send_listing(now, &vm),
-            Message::CellWanted(shard, known) => self.tell_cell(now, &vm, shard, known),
+            Message::ListingRequest => self.send_listing(now, &vm),
+            Message::CellRequest(shard, known) => self.tell_cell(now, &vm, shard, known),
             Message::Cell(shard, answer) => {
                 if self.cells.apply_answer(now, &shard, *answer) {
                     self.follow_live(now);
                 }
             }
-            Message::Introductions(all) => {
+            Message::EndpointDetails(all) => {
                 for (id, endpoint) in all {
-                    self.recent.note(now, id, endpoint);
+                    self.recent.insert(now, id, endpoint);
                 }
             }
-            Message::Subtree(routers) => self.dissemination.take_subtree(&vm, routers),
-            Message::Size(routers) => self.dissemination.take_size(&self.parts.hub, routers),
-            Message::Check(sent) => self.check(now, &vm, sent),
-            Message::Checked { sent, age_ms, head } => {
+            Message::SubtreeSize(routers) => self.dissemination.take_subtree(&vm, routers),
+            Message::FleetSize(routers) => self.dissemination.take_size(&self.parts.hub, routers),
+            Message::ProofRequest(sent) => self.check(now, &vm, sent),
+            Message::ProofAge {
+                sent,
+                age_ms,
+                version: head,
+            } => {
                 let at = Millis(sent.saturating_sub(age_ms));
                 self.dissemination.checked(&vm, at, head, self.view.version);
                 self.dirty = true;
@@ -566,13 +570,13 @@
     /// Follows a change of the view or of the platform's endpoints.
     fn follow_live(&mut self, now: Millis) {
         let mut live = self.live_view(now);
-        self.returns.follow(now, wall_micros(), &mut live);
+        self.returns.mark_cold(now, wall_micros(), &mut live);
         self.live = Arc::new(live);
         self.schedulers.follow(now, &self.live, &mut self.batch);
         let effects = self.dispatcher.follow(now, &self.live);
         self.act(now, effects);
         if self.parts.callers {
-            self.dispatcher.open_near(now, &self.live);
+            self.dispatcher.open_nearby(now, &self.live);
         }
         let shards = coordination::assignment::shards(&self.live);
         self.shards = shards.len();
@@ -615,7 +619,7 @@
                 Effect::Unserved(handle) => {
                     if let Some(sender) = self.decisions.remove(&handle) {
                         // The caller may have gone at the same moment.
-                        let _ = sender.send(Decision::Unserved);
+                        let _ = sender.send(Decision::NoEndpoint);
                     }
                 }
                 Effect::Expire(handle) => {
@@ -638,7 +642,7 @@
         let sender = self.decisions.remove(&handle);
         let found = self.endpoint(endpoint);
         let (Some(found), Some(sender)) = (found, sender) else {
-            let gone = coordination::ask::Verdict::Gone;
+            let gone = coordination::messages::Verdict::Cancelled;
             let effects = self.dispatcher.done(now, handle, 0, gone);
             self.act(now, effects);
             return;
@@ -655,7 +659,7 @@
         };
         if sender.send(Decision::Dispatch(dispatch)).is_err() {
             // The caller left while the grant was on its way: no byte was sent.
-            let gone = coordination::ask::Verdict::Gone;
+            let gone = coordination::messages::Verdict::Cancelled;
             let effects = self.dispatcher.done(now, handle, 0, gone);
             self.act(now, effects);
         }
--- a/components/node/src/reactor/peers.rs
+++ b/components/node/src/reactor/peers.rs
@@ -1,7 +1,7 @@
 //! Other processes: who is reached, and how new the view is.
 
 use super::Reactor;
-use coordination::candidacy::Known;
+use coordination::candidacy::Status;
 use protocol::wire::{Message, Query, Reply};
 use state::clock::Millis;
 use state::id::Name;
@@ -38,7 +38,7 @@
     pub(super) fn close_links(&mut self) {
         let hub = &self.parts.hub;
         let member = self.parts.control || self.is_candidate;
-        for vm in hub.dialed() {
+        for vm in hub.dialed_peers() {
             let seed = member && self.control_places().iter().any(|s| s.vm == vm);
             let needed = seed
                 || self.dissemination.needs(&vm)
@@ -60,7 +60,7 @@
     /// Decides whether this VM stands as a candidate for schedulers.
     pub(super) fn stand(&mut self, now: Millis) {
         let is_lost = |(_, is_up): (_, bool)| !is_up;
-        let known = Known {
+        let known = Status {
             is_assigned: self.view.assignments.iter().any(|a| a.node.vm == self.me),
             is_unscheduled: self.is_unassigned || self.dispatcher.shards().any(is_lost),
             routers: self.dissemination.size(),
@@ -68,7 +68,7 @@
         };
         // Before the fleet is counted nobody stands who does not schedule: all would.
         let may_stand = known.is_assigned || known.routers.is_some();
-        let stands = self.parts.scheduler && may_stand && self.candidacy.stands(now, known);
+        let stands = self.parts.scheduler && may_stand && self.candidacy.is_candidate(now, known);
         if stands && !self.is_candidate {
             self.dial_control();
         }
@@ -80,7 +80,7 @@
             return;
         }
         self.beat_at = now.after(BEAT_MS);
-        let beat = Message::Beat {
+        let beat = Message::Heartbeat {
             region: self.parts.home.region.clone(),
             data_centre: self.parts.home.data_centre.clone(),
             incarnation: self.parts.hub.hello().incarnation,
@@ -131,7 +131,7 @@
             let Some(vm) = self.control_vm(question.attempt) else {
                 continue;
             };
-            let wanted = Message::CellWanted(question.shard, question.known_id);
+            let wanted = Message::CellRequest(question.shard, question.known_id);
             self.parts.hub.send(&vm, wanted);
         }
     }
@@ -178,10 +178,10 @@
         let Some(proof) = self.dissemination.proof() else {
             return;
         };
-        let checked = Message::Checked {
+        let checked = Message::ProofAge {
             sent,
             age_ms: now.since(proof),
-            head: self.view.version,
+            version: self.view.version,
         };
         self.parts.hub.send(vm, checked);
     }
@@ -193,7 +193,7 @@
         }
         if let Some((at, answer)) = &mut self.proving {
             match answer.try_recv() {
-                Ok(Reply::Head(head)) => {
+                Ok(Reply::CurrentVersion(head)) => {
                     let at = *at;
                     self.dissemination.prove(at, head, self.view.version);
                     self.proving = None;
@@ -206,7 +206,8 @@
         if self.dissemination.wants_proof(now) && self.proving.is_none() {
             let (sender, receiver) = oneshot::channel();
             self.proving = Some((now, receiver));
-            self.queries.ask(now, &self.parts.hub, Query::Head, sender);
+            self.queries
+                .ask(now, &self.parts.hub, Query::CurrentVersion, sender);
         }
     }
 
@@ -229,11 +230,12 @@
         if self.needed.is_none() && self.asks_leader(now) {
             let (at, head) = self.head.get_or_insert_with(|| {
                 let (sender, receiver) = oneshot::channel();
-                self.queries.ask(now, &self.parts.hub, Query::Head, sender);
+                self.queries
+                    .ask(now, &self.parts.hub, Query::CurrentVersion, sender);
                 (now, receiver)
             });
             match head.try_recv() {
-                Ok(Reply::Head(version)) => {
+                Ok(Reply::CurrentVersion(version)) => {
                     // It proves as much as an answer to a check. Without it, a router
                     // whose feed has just begun would refuse callers until the next
                     // check, for up to half a second after each loss of everything.
@@ -276,7 +278,9 @@
     /// Tells other schedulers of the region what engines of those here keep.
     pub(super) fn tell_kept(&mut self) {
         for (to, kept) in self.schedulers.kept(&self.live) {
-            self.parts.hub.send(&to.node.vm, Message::Kept(kept));
+            self.parts
+                .hub
+                .send(&to.node.vm, Message::CachedPrompts(kept));
         }
     }
 
