--- a/components/coordination/src/assignment.rs
+++ b/components/coordination/src/assignment.rs
@@ -1,35 +1,36 @@
-//! Which VM schedules which shard, as the leading control VM decides it.
+//! Shards of the fleet's endpoints, and their assignment to schedulers by the leading control VM.
 
 use crate::prelude::*;
 use state::view::{Assignment, Cell, Node, Shard};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Silence after which a scheduler counts as lost, in milliseconds.
-pub const SILENCE_MS: u64 = 1000;
-/// Time that a new leader waits for candidates to report, in milliseconds.
+/// Time without a heartbeat after which a scheduler counts as lost, in milliseconds.
+pub const HEARTBEAT_TIMEOUT_MS: u64 = 1000;
+/// Time that a new leader waits for heartbeats before it assigns, in milliseconds.
 pub const CANDIDATE_WAIT_MS: u64 = 600;
 
-/// Endpoints in a data centre, on average over its region, from which on each data centre
-/// has a scheduler of its own. With fewer, a part of prompts would be kept in few places,
-/// and each scheduler would see too little of the load.
-const DIVIDE: usize = 12;
-/// The same below which they have one again: some way below, so that endpoints which come
-/// and go do not change schedulers each time.
-const UNITE: usize = 8;
-
-/// Endpoints of a shard at most: what its scheduler holds, hears and searches is bounded by
-/// it, however many endpoints a data centre has.
+/// Average endpoints per data centre of a region from which on each data centre has its own
+/// scheduler. With fewer, some prompts would be cached in too few places, and each scheduler
+/// would see too little of the load.
+const SPLIT_ENDPOINTS: usize = 12;
+/// Average endpoints per data centre below which the region has a single scheduler again. It
+/// is well below [`SPLIT_ENDPOINTS`], so that endpoints that come and go do not change the
+/// schedulers each time.
+const MERGE_ENDPOINTS: usize = 8;
+
+/// Most endpoints of a shard on average. It bounds the memory, traffic and search time of a
+/// scheduler, however many endpoints a data centre has.
 pub const SHARD_ENDPOINTS_MAX: usize = 512;
-/// Endpoints of a cell on average below which two are joined again.
-const CELL_MIN: usize = 128;
-/// Cells of one data centre at most.
+/// Average endpoints per cell below which the number of cells is halved.
+const CELL_ENDPOINTS_MIN: usize = 128;
+/// Most cells of one data centre.
 const CELLS_MAX: u16 = 1 << 14;
 
-/// Routers for each scheduler from which on its VM takes no callers: it is then one in
-/// twelve of the routers at most that callers miss.
-const ROUTERS_EACH: usize = 12;
+/// Routers per scheduler from which on the VM of a scheduler takes no callers: callers then
+/// lose at most one router in twelve.
+const ROUTERS_PER_SCHEDULER: usize = 12;
 
-/// A VM that can schedule.
+/// A VM that can run schedulers, by its last heartbeat.
 #[derive(Clone, Debug)]
 struct Candidate {
     site: Site,
@@ -37,10 +38,10 @@
     heard: Millis,
 }
 
-/// Where a VM that can schedule stands.
+/// Location of a VM that can run schedulers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Site {
-    /// The VM and the address of its links.
+    /// The VM's name and link address.
     pub node: Node,
     /// Its region.
     pub region: Name,
@@ -49,7 +50,8 @@
 }
 
 impl Site {
-    /// How far it is from a shard's endpoints: another region, another data centre.
+    /// Distance to a shard's endpoints: whether they are in another region, and in another data
+    /// centre. Nearer sites compare as less.
     fn distance(&self, shard: &Shard) -> (bool, bool) {
         let elsewhere = |data_centre: &Name| *data_centre != self.data_centre;
         (
@@ -59,21 +61,22 @@
     }
 }
 
-/// What the leader knows of the VMs that can schedule.
+/// Assigns shards to the VMs that can run schedulers; used by the leading control VM.
 #[derive(Clone, Debug, Default)]
 pub struct Assigner {
     candidates: BTreeMap<Name, Candidate>,
-    from: Millis,
+    /// When the first assignment may be made.
+    ready_at: Millis,
 }
 
 impl Assigner {
-    /// Starts anew as leader.
+    /// Forgets all candidates, at the start of a term as leader.
     pub fn reset(&mut self, now: Millis) {
         self.candidates.clear();
-        self.from = now.after(CANDIDATE_WAIT_MS);
+        self.ready_at = now.after(CANDIDATE_WAIT_MS);
     }
 
-    /// Hears a heartbeat of a candidate.
+    /// Records a heartbeat of a candidate.
     pub fn record_heartbeat(&mut self, now: Millis, site: Site, incarnation: u64) {
         let vm = site.node.vm.clone();
         let candidate = Candidate {
@@ -84,13 +87,13 @@
         self.candidates.insert(vm, candidate);
     }
 
-    /// Forgets a candidate whose link was lost.
+    /// Removes a candidate whose link was lost.
     pub fn remove(&mut self, vm: &Name) {
         self.candidates.remove(vm);
     }
 
-    /// Assigner to be filled or changed, given the view and the shards that have
-    /// endpoints.
+    /// The assignments to make, for shards without a live scheduler. `shards` are those that
+    /// have endpoints.
     pub fn plan(
         &self,
         now: Millis,
@@ -98,12 +101,13 @@
         shards: &BTreeSet<Shard>,
     ) -> SmallVec<[Assignment; 4]> {
         let mut plan = SmallVec::new();
-        if now < self.from {
+        if now < self.ready_at {
             return plan;
         }
         let live: BTreeMap<&Name, &Candidate> = (self.candidates.iter())
             .filter(|(vm, c)| {
-                now.since(c.heard) < SILENCE_MS && view.stopping.get(vm) != Some(&c.incarnation)
+                now.since(c.heard) < HEARTBEAT_TIMEOUT_MS
+                    && view.stopping.get(vm) != Some(&c.incarnation)
             })
             .collect();
         let mut load: BTreeMap<&Name, usize> = live.keys().map(|vm| (*vm, 0)).collect();
@@ -116,8 +120,9 @@
             .iter()
             .filter(|s| view.config.services.contains_key(&s.service))
         {
-            let held = view.assignment(shard);
-            if held.is_some_and(|s| live.get(&s.node.vm).is_some_and(|c| c.site.node == s.node)) {
+            let current = view.assignment(shard);
+            if current.is_some_and(|a| live.get(&a.node.vm).is_some_and(|c| c.site.node == a.node))
+            {
                 continue;
             }
             let best = (live.iter())
@@ -131,8 +136,8 @@
             plan.push(Assignment {
                 shard: shard.clone(),
                 node: candidate.site.node.clone(),
-                // The version that the record will bring is not known yet, but
-                // it is above the current one; so is this epoch above all others.
+                // Versions only grow, so an epoch above the current version is above all
+                // earlier epochs.
                 epoch: Epoch(view.version.0 + 1 + plan.len() as u64),
             });
         }
@@ -140,20 +145,19 @@
     }
 }
 
-/// Whether a VM that schedules for so many routers takes no callers beside it, in a fleet of
-/// so many shards.
+/// Whether the VM of a scheduler takes no callers, in a fleet with so many routers and shards.
 ///
-/// Callers come to a router by a hash of their address. Where a large one came to the VM of
-/// a scheduler, all routers waited for decisions while it served that caller.
+/// Callers reach a router by a hash of their address. If a large caller reached the VM of a
+/// scheduler, all routers would wait for decisions while the VM serves that caller.
 pub fn is_dedicated(routers: usize, shards: usize) -> bool {
-    routers >= shards * ROUTERS_EACH
+    routers >= shards * ROUTERS_PER_SCHEDULER
 }
 
 /// The shards that have endpoints.
 ///
-/// One scheduler for hundreds of engines is the ceiling of a fleet whose VMs have an eighth
-/// of a core: it is told of each request four times. A region with many endpoints is thus
-/// divided by data centre, and what is still too much for one VM into cells.
+/// On an eighth of a core, one scheduler can serve a few hundred engines: it receives four
+/// messages for each request. A region with many endpoints is therefore split by data centre,
+/// and a data centre that is too large for one VM into cells.
 pub fn shards(view: &View) -> BTreeSet<Shard> {
     let mut regions: BTreeMap<Shard, BTreeMap<Name, usize>> = BTreeMap::new();
     for count in view.endpoint_counts().iter() {
@@ -172,7 +176,7 @@
     }
     let mut shards = BTreeSet::new();
     for (region, counts) in regions {
-        if !divides(view, &region, &counts) {
+        if !is_split(view, &region, &counts) {
             let count = counts.values().sum();
             shards.extend(cells(view, region, count));
             continue;
@@ -188,24 +192,24 @@
     shards
 }
 
-/// A shard with so many endpoints, or the cells into which it is divided.
+/// A shard with so many endpoints, or the cells into which it is split.
 ///
-/// The number of cells is doubled and halved, so that each of the others keeps or loses half
-/// of its endpoints, and not all at each step.
+/// The number of cells is doubled or halved, so that each step splits a cell or merges two
+/// instead of moving all endpoints.
 fn cells(view: &View, shard: Shard, count: usize) -> Vec<Shard> {
-    let of_shard = |a: &&Assignment| {
+    let is_of_shard = |a: &&Assignment| {
         let other = &a.shard;
         other.service == shard.service
             && other.region == shard.region
             && other.data_centre == shard.data_centre
     };
-    let newest = view.assignments.iter().filter(of_shard);
+    let newest = view.assignments.iter().filter(is_of_shard);
     let newest = newest.max_by_key(|a| a.epoch);
     let mut of = newest.and_then(|a| a.shard.cell).map_or(1, |cell| cell.of);
     while count > usize::from(of) * SHARD_ENDPOINTS_MAX && of < CELLS_MAX {
         of *= 2;
     }
-    while of > 1 && count < usize::from(of) * CELL_MIN {
+    while of > 1 && count < usize::from(of) * CELL_ENDPOINTS_MIN {
         of /= 2;
     }
     if of == 1 {
@@ -218,14 +222,17 @@
     (0..of).map(cell).collect()
 }
 
-/// Whether each data centre of a region has a scheduler of its own, given the endpoints in
-/// each.
-fn divides(view: &View, region: &Shard, counts: &BTreeMap<Name, usize>) -> bool {
-    let of_region =
+/// Whether each data centre of a region has its own scheduler, given the endpoints in each.
+fn is_split(view: &View, region: &Shard, counts: &BTreeMap<Name, usize>) -> bool {
+    let is_of_region =
         |a: &&Assignment| a.shard.service == region.service && a.shard.region == region.region;
-    let newest = view.assignments.iter().filter(of_region);
+    let newest = view.assignments.iter().filter(is_of_region);
     let newest = newest.max_by_key(|a| a.epoch);
-    let is_divided = newest.is_some_and(|a| a.shard.data_centre.is_some());
-    let least = if is_divided { UNITE } else { DIVIDE };
+    let was_split = newest.is_some_and(|a| a.shard.data_centre.is_some());
+    let least = if was_split {
+        MERGE_ENDPOINTS
+    } else {
+        SPLIT_ENDPOINTS
+    };
     counts.len() > 1 && counts.values().sum::<usize>() >= least * counts.len()
 }
--- a/components/coordination/src/tree.rs
+++ b/components/coordination/src/tree.rs
@@ -1,56 +1,57 @@
-//! Spread of the view from the control VMs to all routers, along a tree.
+//! Tree along which the control VMs disseminate the view to all routers.
 //!
-//! Each node feeds a bounded number of children and sends later ones on to a
-//! child of its own, so that no node's traffic grows with the fleet. It prefers one in the
-//! newcomer's data centre: what is spread then crosses between data centres once.
+//! Each node serves a bounded number of children and redirects later ones to one of its
+//! children, so that no node's traffic grows with the fleet. It prefers a child in the data
+//! centre of the new node, so that updates cross between data centres once.
 
 use crate::prelude::*;
 use serde::{Deserialize, Serialize};
 use state::view::Node;
 use std::collections::BTreeMap;
 
-/// Names of unconfirmed routers that a confirmation carries at most.
+/// Most names of lagging routers in a confirmation.
 pub const SLOWEST_MAX: usize = 8;
 
-/// What a subtree has confirmed.
+/// Versions that the routers of a subtree have confirmed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Confirmation {
-    /// Smallest version in force in the subtree.
+    /// Lowest version in force in the subtree.
     pub version: Version,
-    /// Routers in the subtree.
+    /// Number of routers in the subtree.
     pub routers: u32,
-    /// Routers that are at that smallest version, the first few.
+    /// Some of the routers at the lowest version, at most [`SLOWEST_MAX`].
     pub slowest: SmallVec<[Name; 4]>,
 }
 
 /// A child in the tree.
 #[derive(Clone, Debug)]
 struct Child {
-    place: Node,
+    node: Node,
     data_centre: Name,
-    confirm: Confirmation,
+    confirmation: Confirmation,
 }
 
-/// What to tell a node that wants to be fed.
+/// Answer to a node that asks to be served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Attachment {
-    /// It is a child from now on.
+    /// The node is a child from now on.
     Child,
-    /// It should ask this node instead.
+    /// The node should ask this one instead.
     Redirect(Node),
 }
 
-/// One node's place in the tree.
+/// One node of the tree, with its children.
 #[derive(Clone, Debug)]
 pub struct Tree {
     fanout: usize,
     children: BTreeMap<Name, Child>,
+    /// Counter that distributes redirects.
     turn: usize,
 }
 
 impl Tree {
-    /// A node that feeds at most `fanout` children.
+    /// Creates a node that serves at most `fanout` children.
     pub fn new(fanout: usize) -> Self {
         Tree {
             fanout,
@@ -59,63 +60,63 @@
         }
     }
 
-    /// Takes a child, or sends it on to a child in turn.
+    /// Adds a child, or redirects the node to one of the children in turn.
     ///
-    /// One that is a child already asks again when it has missed a step. What its
-    /// subtree has confirmed still holds, and it tells only what changes: forgotten
-    /// here, it would never be told again, and one would see a version that is in
-    /// force everywhere without the confirmation of some.
-    pub fn attach(&mut self, place: Node, data_centre: &Name, version: Version) -> Attachment {
-        if let Some(child) = self.children.get_mut(&place.vm) {
-            child.place = place;
+    /// A node that is a child already asks again after it has missed a step. The confirmation of
+    /// its subtree is kept, because the child reports only changes of it: if it were reset, some
+    /// routers would never count as confirmed although the version is in force everywhere.
+    pub fn attach(&mut self, node: Node, data_centre: &Name, version: Version) -> Attachment {
+        if let Some(child) = self.children.get_mut(&node.vm) {
+            child.node = node;
             return Attachment::Child;
         }
         if self.children.len() >= self.fanout {
             self.turn += 1;
-            let near = || {
+            let nearby = || {
                 self.children
                     .values()
                     .filter(|c| c.data_centre == *data_centre)
             };
-            let next = match near().count() {
+            let next = match nearby().count() {
                 0 => self.children.values().nth(self.turn % self.children.len()),
-                count => near().nth(self.turn % count),
+                count => nearby().nth(self.turn % count),
             };
             if let Some(child) = next {
-                return Attachment::Redirect(child.place.clone());
+                return Attachment::Redirect(child.node.clone());
             }
         }
-        let confirm = Confirmation {
+        let confirmation = Confirmation {
             version,
             routers: 1,
-            slowest: SmallVec::from_iter([place.vm.clone()]),
+            slowest: SmallVec::from_iter([node.vm.clone()]),
         };
-        let vm = place.vm.clone();
+        let vm = node.vm.clone();
         let child = Child {
-            place,
+            node,
             data_centre: data_centre.clone(),
-            confirm,
+            confirmation,
         };
         self.children.insert(vm, child);
         Attachment::Child
     }
 
-    /// A root to which a node is sent that wants to be fed by `me`, which cannot.
+    /// The root to which `me`, which cannot serve now, redirects the node `vm`; `None` if there
+    /// is no other.
     ///
-    /// Each in turn: after all processes were lost, every router asks before there is a
-    /// leader. Sent to the same root, they would all wait for it to send the whole
-    /// configuration to each: with 422 rules on 0.15 of a core, the last of 8 routers had
-    /// it 1.2 s after the first control VM.
+    /// The roots are returned in turn: after all processes were lost, every router asks before
+    /// there is a leader. Redirected to the same root, they would all wait for it to send the
+    /// whole configuration to each: with 422 rules on 0.15 of a core, the last of 8 routers
+    /// received it 1.2 s after the first control VM.
     pub fn redirect(&mut self, roots: &[Node], me: &Name, vm: &Name) -> Option<Node> {
         let others: SmallVec<[&Node; 8]> = (roots.iter())
             .filter(|r| r.vm != *me && r.vm != *vm)
             .collect();
         self.turn += 1;
-        let place = others.get(self.turn % others.len().max(1))?;
-        Some((*place).clone())
+        let node = others.get(self.turn % others.len().max(1))?;
+        Some((*node).clone())
     }
 
-    /// Forgets a child.
+    /// Removes a child.
     pub fn detach(&mut self, vm: &Name) {
         self.children.remove(vm);
     }
@@ -125,35 +126,36 @@
         self.children.keys()
     }
 
-    /// Takes a child's confirmation for its subtree.
-    pub fn confirm(&mut self, vm: &Name, confirm: Confirmation) {
+    /// Records a child's confirmation for its subtree.
+    pub fn confirm(&mut self, vm: &Name, confirmation: Confirmation) {
         if let Some(child) = self.children.get_mut(vm) {
-            child.confirm = confirm;
+            child.confirmation = confirmation;
         }
     }
 
-    /// What this node and all below it have confirmed.
+    /// Merges the confirmations of all subtrees and the version of this node, if it counts.
     pub fn aggregate(&self, own: Option<(&Name, Version)>) -> Confirmation {
-        let mut total = Confirmation {
+        let mut all = Confirmation {
             version: Version(u64::MAX),
             routers: 0,
             slowest: SmallVec::new(),
         };
         if let Some((vm, version)) = own {
-            total.merge(&Confirmation {
+            all.merge(&Confirmation {
                 version,
                 routers: 1,
                 slowest: SmallVec::from_iter([vm.clone()]),
             });
         }
         for child in self.children.values() {
-            total.merge(&child.confirm);
+            all.merge(&child.confirmation);
         }
-        total
+        all
     }
 }
 
 impl Confirmation {
+    /// Adds the routers of another subtree.
     fn merge(&mut self, other: &Confirmation) {
         self.routers += other.routers;
         if other.version > self.version {
