--- a/components/coordination/tests/assignment.rs
+++ b/components/coordination/tests/assignment.rs
@@ -1,4 +1,4 @@
-//! Which shards there are, and which VM schedules each.
+//! Division of endpoints into shards, and assignment of shards to VMs.
 
 mod views;
 
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 use views::{name, place, SERVICE};
 
-/// Endpoints of one service, as many in each data centre.
+/// A view of one service with `counts[n]` endpoints in data centre `dc-n`.
 fn view(counts: &[u32]) -> View {
     let mut view = views::view(None);
     for (n, count) in (0..).zip(counts) {
@@ -36,12 +36,12 @@
 #[case::many_in_two(&[12, 12], true)]
 #[case::many_but_uneven(&[30, 2, 4], true)]
 #[case::some(&[11, 12], false)]
-fn a_region_with_many_endpoints_is_divided_by_data_centre(
+fn a_region_with_many_endpoints_is_split_by_data_centre(
     #[case] counts: &[u32],
-    #[case] is_divided: bool,
+    #[case] is_split: bool,
 ) {
     let shards = shards(&view(counts));
-    if is_divided {
+    if is_split {
         assert_eq!(shards.len(), counts.len());
         assert!(shards.iter().all(|s| s.data_centre.is_some()));
     } else {
@@ -50,24 +50,24 @@
 }
 
 #[test]
-fn endpoints_that_come_and_go_do_not_change_schedulers_each_time() {
-    // Symptom: all routers open new sessions each time that an endpoint comes or goes.
-    // Sequence: a region has about as many endpoints as divide it.
-    // Cause: one bound for dividing and for joining again.
-    let mut divided = view(&[10, 10]);
-    assert_eq!(shards(&divided).len(), 1);
-    views::assign(&mut divided, [shard(Some("dc-0"))], 4);
-    assert_eq!(shards(&divided).len(), 2);
-    // A scheduler of the whole region from before says nothing any more.
-    views::assign(&mut divided, [shard(None)], 3);
-    assert_eq!(shards(&divided).len(), 2);
+fn a_few_new_endpoints_do_not_change_the_schedulers() {
+    // Symptom: all routers open new sessions whenever an endpoint comes or goes.
+    // Sequence: the number of endpoints in a region varies around the limit for a split.
+    // Cause: regions are split and merged at the same limit.
+    let mut split = view(&[10, 10]);
+    assert_eq!(shards(&split).len(), 1);
+    views::assign(&mut split, [shard(Some("dc-0"))], 4);
+    assert_eq!(shards(&split).len(), 2);
+    // An older assignment of the whole region has no effect.
+    views::assign(&mut split, [shard(None)], 3);
+    assert_eq!(shards(&split).len(), 2);
     let mut few = view(&[7, 7]);
     views::assign(&mut few, [shard(Some("dc-0"))], 4);
     assert_eq!(shards(&few).len(), 1);
 }
 
 #[test]
-fn a_scheduler_stands_in_the_data_centre_of_its_endpoints() {
+fn a_scheduler_runs_in_the_data_centre_of_its_endpoints() {
     let view = view(&[12, 12]);
     let mut assigner = Assigner::default();
     assigner.reset(Millis(0));
@@ -88,17 +88,17 @@
         placed,
         [(Some(name("dc-0")), "a"), (Some(name("dc-1")), "c")]
     );
-    // Each has an epoch of its own, above all others.
+    // Each assignment has its own epoch, above all earlier ones.
     assert!(plan[0].epoch < plan[1].epoch);
 }
 
 #[test]
-fn a_vm_that_schedules_for_many_routers_takes_no_callers() {
+fn the_vm_of_a_scheduler_for_many_routers_takes_no_callers() {
     // Symptom: requests of all routers wait 0.5 s for decisions.
-    // Sequence: a large customer's callers come to the router that schedules.
-    // Cause: both share an eighth of a core.
+    // Sequence: the callers of a large customer connect to the VM that schedules.
+    // Cause: callers and scheduler share an eighth of a core.
     assert!(is_dedicated(288, 6));
-    // Where routers are few, each is needed for callers.
+    // In a small fleet, each router is needed for callers.
     assert!(!is_dedicated(8, 2));
     assert!(!is_dedicated(55, 5));
 }
--- a/components/coordination/tests/cells.rs
+++ b/components/coordination/tests/cells.rs
@@ -1,4 +1,5 @@
-//! Shards with many endpoints: who holds and hears what, at two sizes of the fleet.
+//! Large fleets: what schedulers, routers and control VMs hold and exchange must not grow with
+//! the number of endpoints. Most tests run at two sizes of the fleet.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
 mod endpoints;
@@ -20,30 +21,31 @@
 use std::collections::BTreeSet;
 use views::{name, SERVICE};
 
-/// Data centres of the fleets here.
-const CENTRES: usize = 5;
-/// Part of a cell's endpoints by which chance makes some cells larger than others.
-const SLACK_PERCENT: usize = 125;
+/// Data centres of the test fleets.
+const DATA_CENTRES: usize = 5;
+/// Largest size of a cell relative to [`SHARD_ENDPOINTS_MAX`]: endpoints are hashed to cells,
+/// so some cells are larger than others.
+const CELL_SIZE_MAX_PERCENT: usize = 125;
 
-/// A list with so many endpoints in each data centre.
+/// A list with `each` endpoints in each data centre.
 fn list(each: usize) -> Vec<Entry> {
-    let all = (0..each * CENTRES).map(|n| {
+    let all = (0..each * DATA_CENTRES).map(|n| {
         let mut listed = endpoints::listed(&format!("e-{n:06}"), None, false);
         listed.endpoint.service = name("assistant");
-        listed.endpoint.data_centre = name(&format!("dc-{}", n % CENTRES));
+        listed.endpoint.data_centre = name(&format!("dc-{}", n % DATA_CENTRES));
         listed
     });
     all.collect()
 }
 
-/// A control VM that has read it.
+/// The registry of a control VM that has read such a list.
 fn reader(each: usize) -> Registry {
     let mut registry = Registry::default();
     registry.apply_reading(Millis(0), list(each), 1);
     registry
 }
 
-/// What a router knows of it, with a scheduler for each shard.
+/// The view of a router that holds only the endpoint counts, with a scheduler per shard.
 fn partial(registry: &Registry) -> View {
     let mut view = views::view(None);
     view.set_census(registry.census().unwrap());
@@ -52,8 +54,8 @@
     view
 }
 
-/// Guards against a scheduler whose work grows with the endpoints of its data centre, and
-/// against an endpoint that two schedulers grant, or none.
+/// Guards against shards that grow with the data centre, and against an endpoint that is in
+/// two shards or in none.
 #[rstest]
 #[case(2000)]
 #[case(4000)]
@@ -70,14 +72,14 @@
     }
     let most = counts.iter().max().unwrap();
     assert!(
-        *most <= SHARD_ENDPOINTS_MAX * SLACK_PERCENT / 100,
+        *most <= SHARD_ENDPOINTS_MAX * CELL_SIZE_MAX_PERCENT / 100,
         "{counts:?}"
     );
 }
 
-/// Guards against schedulers that all change when a few endpoints come or go.
+/// Guards against new shards, and so new schedulers, whenever a few endpoints come or go.
 #[test]
-fn endpoints_that_come_and_go_do_not_divide_a_shard_each_time() {
+fn a_few_new_endpoints_do_not_change_the_shards() {
     let divided = partial(&reader(2 * SHARD_ENDPOINTS_MAX + 10));
     let again = |each: usize| {
         let mut view = divided.clone();
@@ -87,7 +89,7 @@
     let before = shards(&divided);
     assert_eq!(again(2 * SHARD_ENDPOINTS_MAX - 10), before);
     assert_eq!(again(SHARD_ENDPOINTS_MAX), before);
-    // Each of its cells has half of the endpoints of one of these.
+    // Each new cell has half of the endpoints of an old one.
     let doubled = again(4 * SHARD_ENDPOINTS_MAX + 10);
     assert_eq!(doubled.len(), 2 * before.len());
     let listed = &list(1)[0];
@@ -99,8 +101,8 @@
     assert_eq!(new.index % old.of, old.index);
 }
 
-/// Shards that a router comes to have sessions with, by many prompts and a pressed own data
-/// centre.
+/// Number of shards with which a router opens sessions, for many different prompts and an
+/// overloaded data centre of its own.
 fn sessions(view: &View, incarnation: u64) -> usize {
     let home = Location {
         region: name("main"),
@@ -133,19 +135,22 @@
             aim: Millis(u64::from(n) + 800),
             deadline: Millis(u64::from(n) + 8000),
         };
-        // Whether it is taken plays no part.
+        // Refused arrivals count as well.
         let _ = dispatcher.arrive(Millis(u64::from(n)), view, arrival);
     }
     dispatcher.shards().count()
 }
 
-/// Guards against routers that keep a link to each scheduler of the fleet.
+/// Guards against routers with a link to each scheduler of the fleet.
 #[test]
 fn a_router_asks_a_bounded_number_of_schedulers() {
     let most = |each: usize| {
         let view = partial(&reader(each));
-        let lives = (1..40_u64).map(|n| n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        lives.map(|life| sessions(&view, life)).max().unwrap()
+        let incarnations = (1..40_u64).map(|n| n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        incarnations
+            .map(|incarnation| sessions(&view, incarnation))
+            .max()
+            .unwrap()
     };
     let (most_now, most_at_twice) = (most(2000), most(4000));
     assert!(
@@ -154,25 +159,25 @@
     );
 }
 
-/// Entries that a release of a hundredth of all endpoints brings to one scheduler and to
-/// one router.
-fn heard(each: usize) -> (usize, usize) {
+/// Number of entries that one scheduler and one router receive while a rolling release
+/// drains a hundredth of all endpoints per round.
+fn entries_received(each: usize) -> (usize, usize) {
     let mut registry = reader(each);
     let view = partial(&registry);
     let shard = shards(&view).into_iter().next().unwrap();
     let mut catalogue = Catalogue::new(1);
-    let mut cells = Poller::default();
-    cells.set_shards([shard.clone()]);
+    let mut poller = Poller::default();
+    poller.set_shards([shard.clone()]);
     let mut entries = 0;
     for round in 0..4 {
         let now = Millis(round * 1000);
         let mut next = list(each);
         next.iter_mut()
-            .take(round as usize * each * CENTRES / 100)
+            .take(round as usize * each * DATA_CENTRES / 100)
             .for_each(|l| l.leaving = true);
         registry.apply_reading(now, next, 2 + round);
         catalogue.apply_change(now, registry.change());
-        for question in cells.due_queries(now) {
+        for question in poller.due_queries(now) {
             let answer = catalogue.answer(
                 now,
                 &question.shard,
@@ -185,7 +190,7 @@
                 Answer::Change(change) => change.set.len() + change.gone.len(),
                 Answer::Unchanged => 0,
             };
-            cells.apply_answer(now, &shard, answer);
+            poller.apply_answer(now, &shard, answer);
         }
     }
     let of_shard = |l: &&Entry| shard.covers(l.id(), &l.endpoint);
@@ -193,87 +198,91 @@
         .filter(of_shard)
         .cloned()
         .collect();
-    let known = cells.registries().next().unwrap().listing();
-    assert_eq!(known.endpoints, expected, "it follows all changes");
+    let known = poller.registries().next().unwrap().listing();
+    assert_eq!(known.endpoints, expected, "all changes are applied");
     (entries, registry.census().unwrap().counts.len())
 }
 
-/// Guards against a list that every process holds, and hears each change of.
+/// Guards against a list that every process holds and of which it receives each change.
 #[test]
-fn a_change_of_the_list_goes_to_those_who_need_it() {
-    let (scheduler, router) = heard(2000);
-    let (scheduler_at_twice, router_at_twice) = heard(4000);
+fn a_change_of_the_list_is_sent_only_where_it_is_needed() {
+    let (scheduler, router) = entries_received(2000);
+    let (scheduler_at_twice, router_at_twice) = entries_received(4000);
     let bound = SHARD_ENDPOINTS_MAX * 2;
     assert!(
         scheduler <= bound && scheduler_at_twice <= bound,
         "{scheduler} {scheduler_at_twice}"
     );
-    assert_eq!((router, router_at_twice), (CENTRES, CENTRES));
+    assert_eq!((router, router_at_twice), (DATA_CENTRES, DATA_CENTRES));
 }
 
-/// Guards against a scheduler that goes on with an old list, since the control VM that it
-/// asks has fallen silent.
+/// Guards against a scheduler that keeps an old list because the control VM that it queries
+/// has fallen silent.
 #[test]
-fn a_scheduler_asks_another_control_vm_after_a_silence() {
+fn a_scheduler_queries_another_control_vm_after_a_timeout() {
     let shard = shards(&partial(&reader(2000))).into_iter().next().unwrap();
-    let mut cells = Poller::default();
-    cells.set_shards([shard.clone()]);
-    let mut turns = BTreeSet::new();
+    let mut poller = Poller::default();
+    poller.set_shards([shard.clone()]);
+    let mut attempts = BTreeSet::new();
     for tick in 0..200 {
         let now = Millis(tick * 20);
-        turns.extend(cells.due_queries(now).into_iter().map(|q| q.attempt));
+        attempts.extend(poller.due_queries(now).into_iter().map(|q| q.attempt));
     }
-    assert!(turns.len() > 1, "{turns:?}");
-    let mut cells = Poller::default();
-    cells.set_shards([shard.clone()]);
+    assert!(attempts.len() > 1, "{attempts:?}");
+    let mut poller = Poller::default();
+    poller.set_shards([shard.clone()]);
     let mut asked = 0;
     for tick in 0..200 {
         let now = Millis(tick * 20);
-        for question in cells.due_queries(now) {
+        for question in poller.due_queries(now) {
             assert_eq!(question.attempt, 0);
             asked += 1;
-            cells.apply_answer(now, &shard, Answer::Unchanged);
+            poller.apply_answer(now, &shard, Answer::Unchanged);
         }
     }
     assert!(asked <= 9, "{asked} in four seconds");
 }
 
-/// Guards against readers of a long list that keep each other from reading it: routers that
-/// do not hold it leave it alone, however long nobody tells of it.
+/// Guards against so many readers of a long list that they keep each other from reading it:
+/// routers that do not hold the list never read it, however long there is no update.
 #[test]
 fn routers_leave_a_long_list_to_control_vms() {
     let mut router = Registry::default();
     let reads =
         |registry: &Registry, routers| registry.read_delay_ms(Reader::Router(routers), 500, 7);
-    assert_eq!(reads(&router, None), None, "it has heard nothing");
+    assert_eq!(reads(&router, None), None, "there was no update yet");
     assert_eq!(reads(&router, Some(1000)), None);
     router.apply_census(Millis(0), reader(2000).census().unwrap().clone());
     assert_eq!(reads(&router, Some(1000)), None);
     let mut whole = Registry::default();
-    let endpoints = list(BROADCAST_ENTRIES_MAX / CENTRES);
+    let endpoints = list(BROADCAST_ENTRIES_MAX / DATA_CENTRES);
     whole.apply_listing(Millis(0), Listing { id: 3, endpoints });
     assert!(reads(&whole, Some(6)).is_some());
-    assert_eq!(reads(&whole, None), None, "they are not counted yet");
+    assert_eq!(
+        reads(&whole, None),
+        None,
+        "the number of routers is not known yet"
+    );
 }
 
-/// Guards against more calls a second to the platform the longer its list is.
+/// Guards against a rate of calls to the platform that grows with the length of its list.
 #[rstest]
 #[case(2000)]
 #[case(4000)]
 fn the_leader_reads_a_long_list_less_often(#[case] each: usize) {
-    const PAGE: u64 = 200;
+    const PAGE_ENTRIES: u64 = 200;
     let registry = reader(each);
     let every_ms = registry.read_delay_ms(Reader::Leader, 500, 7).unwrap();
-    let pages = (each * CENTRES) as u64 / PAGE;
+    let pages = (each * DATA_CENTRES) as u64 / PAGE_ENTRIES;
     assert!(pages * 1000 / every_ms <= 50, "{every_ms}");
-    // One that follows it waits for longer than a reading may take.
-    let led = Reader::Control {
+    // A follower waits for longer than a reading may take.
+    let follower = Reader::Control {
         follows_leader: true,
     };
-    assert!(registry.read_delay_ms(led, 500, 7).unwrap() >= 5 * every_ms);
+    assert!(registry.read_delay_ms(follower, 500, 7).unwrap() >= 5 * every_ms);
 }
 
-/// Guards against a reading of many pages that is worth nothing since one of them failed.
+/// Guards against discarding a reading of many pages because one page failed.
 #[test]
 fn a_reading_that_fails_keeps_what_it_has_read() {
     let mut registry = Registry::default();
@@ -284,15 +293,15 @@
     assert!(registry.apply_partial_reading(Millis(500), later, 2));
     assert_eq!(registry.listing().endpoints.len(), 1000);
     assert!(registry.listing().endpoints[600].leaving);
-    // What it lacks says nothing, however often.
+    // Endpoints that incomplete readings lack are kept, however often that happens.
     for n in 0..5 {
         registry.apply_partial_reading(Millis(1000 + n * 500), list(200)[..10].to_vec(), 3 + n);
     }
     assert_eq!(registry.listing().endpoints.len(), 1000);
 }
 
-/// Guards against endpoints that leave and are forgotten as such in a release of a large
-/// fleet: a reader that has older pages would bring them back.
+/// Guards against forgetting which endpoints drain during a release of a large fleet: a reader
+/// with older pages would bring them back.
 #[test]
 fn a_release_of_a_large_fleet_is_remembered() {
     let mut registry = reader(2000);
@@ -303,8 +312,8 @@
     assert!(registry.listing().endpoints.iter().all(|l| l.leaving));
 }
 
-/// Guards against a router that holds every endpoint that it was ever granted, and against
-/// one that goes on for long with endpoints that may have left.
+/// Guards against a router that keeps every endpoint that it was ever granted, and against
+/// the use of endpoints that may have been removed since.
 #[test]
 fn a_router_remembers_a_bounded_number_of_endpoints_for_a_while() {
     let mut recent = Recent::default();
--- a/components/coordination/tests/endpoints/mod.rs
+++ b/components/coordination/tests/endpoints/mod.rs
@@ -1,16 +1,16 @@
-//! An entry of the platform's list as tests build it.
+//! Builds entries of the platform's list for tests.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
 use state::config::Endpoint;
 use state::id::Name;
 use state::listing::Entry;
 
-/// An endpoint of four slots.
-pub(crate) fn listed(name: &str, born: Option<u64>, leaving: bool) -> Entry {
+/// An endpoint with four slots.
+pub(crate) fn listed(name: &str, started_ms: Option<u64>, leaving: bool) -> Entry {
     let text = |text: &str| Name::try_from(text).unwrap();
     Entry {
         leaving,
-        started_ms: born,
+        started_ms,
         cold_ms: 0,
         endpoint: Endpoint {
             name: text(name),
--- a/components/coordination/tests/listing.rs
+++ b/components/coordination/tests/listing.rs
@@ -1,5 +1,5 @@
-//! The platform's list of endpoints: whose turn it is to read it, and what a
-//! reading means.
+//! Registry of the platform's list of endpoints: when a process reads the list, and how
+//! readings and updates are merged.
 
 mod endpoints;
 
@@ -7,10 +7,12 @@
 use state::clock::Millis;
 use state::listing::{Entry, Listing};
 
+/// An entry of the list.
 fn listed(name: &str, leaving: bool) -> Entry {
     endpoints::listed(name, None, leaving)
 }
 
+/// Names of the endpoints, with a `!` after those that drain.
 fn names(registry: &Registry) -> Vec<String> {
     let all = registry.listing().endpoints.iter();
     all.map(|l| format!("{}{}", l.endpoint.name, if l.leaving { "!" } else { "" }))
@@ -18,10 +20,11 @@
 }
 
 #[test]
-fn can_keep_an_endpoint_that_one_reading_lacks() {
-    // Symptom: an endpoint that lives gets no work, and its kept parts are lost.
-    // Sequence: the list changes between two of its pages, and one reading lacks it.
-    // Cause: a reading that is taken for the whole truth.
+fn keeps_an_endpoint_that_one_reading_lacks() {
+    // Symptom: a live endpoint gets no requests, and its cached prompts are lost.
+    // Sequence: the list changes between the requests for two pages, and one reading lacks
+    // the endpoint.
+    // Cause: an endpoint is removed after a single reading without it.
     let mut registry = Registry::default();
     assert!(registry.apply_reading(Millis(0), vec![listed("a", false), listed("b", false)], 1));
     assert!(!registry.apply_reading(Millis(500), vec![listed("a", false)], 2));
@@ -38,11 +41,11 @@
 }
 
 #[test]
-fn can_never_take_back_that_an_endpoint_leaves() {
-    // Symptom: an endpoint that drains gets new work.
-    // Sequence: one VM reads that it leaves; another, whose pages are older, takes
-    // over and says that it does not.
-    // Cause: the last reading wins, whatever was known before.
+fn an_endpoint_that_drains_never_returns_to_service() {
+    // Symptom: a draining endpoint gets new requests.
+    // Sequence: one VM reads that the endpoint drains; another one with older pages takes
+    // over and reports that it does not.
+    // Cause: the last reading replaces what was known before.
     let mut registry = Registry::default();
     registry.apply_reading(Millis(0), vec![listed("a", true), listed("b", false)], 1);
     let older = Listing {
@@ -54,7 +57,7 @@
 }
 
 #[test]
-fn can_drop_a_leaving_endpoint_at_the_first_reading_without_it() {
+fn removes_a_draining_endpoint_at_the_first_reading_without_it() {
     let mut registry = Registry::default();
     registry.apply_reading(Millis(0), vec![listed("a", true), listed("b", false)], 1);
     assert!(registry.apply_reading(Millis(500), vec![listed("b", false)], 2));
@@ -62,10 +65,10 @@
 }
 
 #[test]
-fn can_take_over_reading_when_the_reader_falls_silent() {
-    // Symptom: no router hears of endpoints that come and go.
-    // Sequence: the VM that reads the list for all is lost.
-    // Cause: a reader that somebody has to appoint.
+fn another_process_reads_when_the_reader_falls_silent() {
+    // Symptom: routers receive no updates of the endpoints.
+    // Sequence: the VM that reads the list for all others is lost.
+    // Cause: the reader is a fixed VM, which nothing replaces.
     let mut leader = Registry::default();
     let mut other = Registry::default();
     assert!(leader.is_due(Millis(500), 500));
@@ -78,33 +81,34 @@
 }
 
 #[test]
-fn routers_read_the_list_in_turn_however_many_there_are() {
-    // Symptom: the platform's list is asked for 25 times a second instead of twice.
-    // Sequence: the control VMs fall silent; each router waits for its turn, and hears of
-    // others' readings 100 ms after they are due.
-    // Cause: the turns of 291 routers lay within half a second.
+fn routers_spread_their_readings_however_many_there_are() {
+    // Symptom: the platform's list is requested 25 times a second instead of twice.
+    // Sequence: the control VMs fall silent; each router reads after a random delay, unless
+    // it receives an update, which takes 100 ms.
+    // Cause: the delays of 291 routers were spread over half a second.
     let readers = |routers: u32| {
-        let lives = (0..u64::from(routers)).map(|n| n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        let turns = lives.map(|life| router_read_delay_ms(500, routers, life));
-        let mut turns: Vec<u64> = turns.collect();
-        turns.sort_unstable();
-        let first = turns[0];
-        (first, turns.iter().filter(|at| **at < first + 100).count())
+        let incarnations = (0..u64::from(routers)).map(|n| n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let delays =
+            incarnations.map(|incarnation| router_read_delay_ms(500, routers, incarnation));
+        let mut delays: Vec<u64> = delays.collect();
+        delays.sort_unstable();
+        let first = delays[0];
+        (first, delays.iter().filter(|at| **at < first + 100).count())
     };
     let (first, at_once) = readers(291);
     assert!(
         (2000..2300).contains(&first) && at_once < 20,
         "{first} {at_once}"
     );
-    // A few routers still read within what an endpoint's leave may take to be known.
+    // Few routers must read soon enough for a drain to be known in time.
     let (first, _) = readers(6);
     assert!(first <= 2500, "{first}");
 }
 
-/// Guards against a list that is sent whole to all processes whenever one endpoint changes,
-/// and against changes that a process applies to another list than theirs.
+/// Guards against sending the whole list to all processes whenever one endpoint changes, and
+/// against applying a change to another list than the one it is based on.
 #[test]
-fn can_follow_a_list_by_its_changes() {
+fn follows_a_list_by_its_changes() {
     let all = |leaving: &[bool]| -> Vec<Entry> {
         let each = leaving.iter().enumerate();
         each.map(|(n, leaving)| listed(&format!("e-{n}"), *leaving))
@@ -125,14 +129,14 @@
     }
     let change = reader.export_change(Millis(1000));
     assert_eq!((change.set.len(), change.gone.len()), (0, 1), "{change:?}");
-    // The one between was lost on its way: it has to ask for the whole list.
+    // The change before was lost: the process has to request the whole list.
     assert_eq!(other.apply_change(Millis(1005), &change), None);
     assert!(other.apply_listing(Millis(1010), reader.export(Millis(1005))));
     assert_eq!(names(&other), names(&reader));
     assert_eq!(
         other.apply_change(Millis(1015), &change),
         Some(false),
-        "it is known"
+        "the change is known already"
     );
     reader.apply_reading(Millis(1500), all(&[true; 299]), 9);
     assert_eq!(
@@ -142,9 +146,9 @@
     assert_eq!(names(&other), names(&reader));
 }
 
-/// Guards against a change that leaves out that an endpoint has turned cold.
+/// Guards against a change without the endpoints of which only the cold time is new.
 #[test]
-fn can_tell_a_change_of_cold_endpoints_alone() {
+fn a_change_includes_endpoints_that_have_turned_cold() {
     let mut reader = Registry::default();
     let mut other = Registry::default();
     let cold = |cold_ms| Entry {
--- a/components/coordination/tests/views/mod.rs
+++ b/components/coordination/tests/views/mod.rs
@@ -1,4 +1,4 @@
-//! A view of one service as tests build it.
+//! Builds views of one service for tests.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
@@ -6,7 +6,7 @@
 use state::id::{EndpointId, Epoch, Name, ServiceId};
 use state::view::{Assignment, Node, Shard, View};
 
-/// The service.
+/// Number of the service.
 pub(crate) const SERVICE: ServiceId = ServiceId(1);
 
 pub(crate) fn name(text: &str) -> Name {
@@ -20,7 +20,7 @@
     }
 }
 
-/// A view of the service without endpoints.
+/// A view with the service and no endpoints.
 pub(crate) fn view(engine: Option<Engine>) -> View {
     let service = Service {
         name: name("assistant"),
@@ -52,7 +52,7 @@
     view.config.endpoints.insert(EndpointId(id), endpoint);
 }
 
-/// Assigns shards to VMs `s-0`, `s-1` and so on, in epochs from `epoch` on.
+/// Assigns shards to the VMs `s-0`, `s-1` and so on, with epochs from `epoch` on.
 pub(crate) fn assign<S>(view: &mut View, shards: S, epoch: u64)
 where
     S: IntoIterator<Item = Shard>,
