--- a/components/state/src/clock.rs
+++ b/components/state/src/clock.rs
@@ -1,8 +1,8 @@
-//! Time as the decisions see it, and the hybrid logical clock of the time line.
+//! Monotonic time for decisions, and the hybrid logical clock that orders timeline events.
 
 use serde::{Deserialize, Serialize};
 
-/// Monotonic milliseconds since an origin that the process chose.
+/// Monotonic time in milliseconds since an origin chosen by the process.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -10,33 +10,32 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// This instant moved on by `ms`, saturating.
+    /// The time `ms` milliseconds later, saturating.
     pub fn after(self, ms: u64) -> Self {
         Millis(self.0.saturating_add(ms))
     }
 
-    /// Milliseconds since `earlier`, or 0 when it lies in the future.
+    /// Milliseconds since `earlier`, or 0 if it is in the future.
     pub fn since(self, earlier: Millis) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 }
 
-/// A hybrid logical time stamp: wall clock in microseconds, then a count.
+/// A timestamp of a hybrid logical clock (Kulkarni et al., "Logical Physical Clocks", 2014).
 ///
-/// Method: Kulkarni et al., "Logical Physical Clocks", 2014. Cause comes
-/// before effect in the order of stamps whatever the VMs' clocks say.
+/// A cause has a smaller stamp than its effect, even if the clocks of the VMs differ.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Stamp {
     /// Largest wall clock seen, in microseconds since 1970.
     pub wall: u64,
-    /// Count of events within that microsecond.
+    /// Counter that orders events with the same `wall`.
     pub count: u32,
 }
 
 impl Stamp {
-    /// Advances to an event of this process at wall clock `now`.
+    /// Advances the clock for an event of this process at wall clock `now`, in microseconds.
     pub fn tick(&mut self, now: u64) -> Stamp {
         if now > self.wall {
             *self = Stamp {
@@ -49,7 +48,7 @@
         *self
     }
 
-    /// Advances past a stamp that a peer sent.
+    /// Advances the clock past a stamp received from a peer.
     pub fn merge(&mut self, now: u64, other: Stamp) -> Stamp {
         if other > *self {
             *self = other;
--- a/components/state/src/config.rs
+++ b/components/state/src/config.rs
@@ -1,4 +1,4 @@
-//! What operators decide: customers, services, endpoints and rules.
+//! The fleet's configuration: customers, services, endpoints and rules.
 
 use crate::id::{CustomerId, EndpointId, Name, ServiceId};
 use crate::route::Routes;
@@ -8,87 +8,87 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// Rules of a configuration at most: their places are numbered by `u16`.
+/// Most rules in a configuration: their positions are `u16`.
 pub const RULES_MAX: usize = 1 << 15;
 
-/// Someone who sends requests and receives a fair share.
+/// A customer, among whom capacity is shared fairly.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Customer {
     /// Name, unique among customers.
     pub name: Name,
-    /// Hashes of its bearer keys; any of them tells who it is.
+    /// Hashes of its bearer keys; each of them authenticates it.
     pub keys: SmallVec<[Hash; 2]>,
-    /// Share relative to others, 1 to 1000.
+    /// Weight of its fair share, 1 to 1000.
     pub weight: u32,
-    /// Rank of its requests, 0 the most urgent, in place of the rule's.
+    /// Priority of its requests, 0 being the most urgent; overrides the rule's.
     pub priority: Option<u8>,
     /// Services that it may reach.
     pub services: SmallVec<[Name; 4]>,
-    /// Regions in which its requests may be served, all if there are none.
+    /// Regions in which its requests may be served; empty for all.
     pub regions: SmallVec<[Name; 2]>,
 }
 
-/// What one unit of service is.
+/// Unit in which the service that customers receive is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cost {
-    /// One unit a request.
+    /// One unit per request.
     Request,
-    /// One unit for each streamed event (a `data:` line).
+    /// One unit per streamed event (a `data:` line).
     Event,
-    /// One unit for each millisecond that a slot is held.
+    /// One unit per millisecond for which a slot is held.
     Time,
-    /// One unit for each prompt token, two for each token generated.
+    /// One unit per prompt token, two per generated token.
     Token,
 }
 
-/// What endpoints of a service have in common when they are model engines.
+/// Properties of a service whose endpoints are model engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Engine {
-    /// Tokens that fit into an engine's memory: running requests and kept parts
-    /// of prompts together.
+    /// Tokens that fit into an engine's memory, for running requests and cached prompt
+    /// prefixes together.
     pub memory_tokens: u64,
-    /// Tokens that one streamed event holds.
+    /// Tokens per streamed event.
     pub event_tokens: u32,
-    /// Prompt tokens that an engine copies from another one's memory in a second;
-    /// `None` if it cannot.
+    /// Prompt tokens per second that an engine can copy from another one's cache; `None` if
+    /// it cannot.
     pub copy_tokens_per_s: Option<u32>,
 }
 
-/// What endpoints of a service bear while they are cold: just started, or idle for long.
+/// Limits of a service's endpoints while they are cold, that is just started or idle for long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Cold {
-    /// Requests that one bears, in thousandths of a request a second.
+    /// Rate that a cold endpoint sustains, in thousandths of a request per second.
     pub rate: u32,
-    /// Time for which one stays cold, in milliseconds.
+    /// Time for which an endpoint stays cold, in milliseconds.
     pub for_ms: u64,
 }
 
-/// A set of endpoints that are equal to callers.
+/// A service: a set of interchangeable endpoints.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Service {
     /// Name, unique among services.
     pub name: Name,
-    /// How service received is counted.
+    /// Unit in which the received service is measured.
     pub cost: Cost,
-    /// Cost assumed at the grant when the caller gives no hint, in units of `cost`.
+    /// Cost assumed when a slot is granted and the caller gives no hint, in units of `cost`.
     pub estimate: u32,
-    /// Longest time from arrival to the end of the answer, in milliseconds.
+    /// Timeout from the arrival of a request to the end of its response, in milliseconds.
     pub timeout_ms: u64,
-    /// Whether every request may safely run twice, whatever its method.
+    /// Whether every request may run twice, whatever its method.
     pub idempotent: bool,
-    /// Path where its endpoints report their load, as `{"running":N,"waiting":N}`.
+    /// Path at which its endpoints report their load, as `{"running":N,"waiting":N}`.
     pub load: Option<String>,
-    /// Connections that each of its endpoints takes from all routers together;
-    /// `None` for no bound.
+    /// Most connections that each endpoint accepts from all routers together; `None` for no
+    /// limit.
     pub connections: Option<u32>,
-    /// Set when its endpoints are model engines.
+    /// Set if its endpoints are model engines.
     pub engine: Option<Engine>,
-    /// What they bear while they are cold; `None` for as much as ever.
+    /// Limits while its endpoints are cold; `None` for none.
     pub cold: Option<Cold>,
 }
 
@@ -100,34 +100,35 @@
     pub name: Name,
     /// Service that it serves.
     pub service: Name,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Data centre that it stands in.
+    /// Its data centre.
     pub data_centre: Name,
     /// Region of that data centre.
     pub region: Name,
-    /// Requests that it works on at once.
+    /// Requests that it processes at once.
     pub slots: u32,
-    /// Requests kept ready beyond its slots, to cover the grant's round trip.
+    /// Requests granted beyond its slots, so that it does not idle during the round trip of a
+    /// grant.
     #[serde(rename = "lead")]
     pub prefetch: u32,
 }
 
-/// What a rule asks of a request; every part given must hold.
+/// Condition of a rule. A request matches if all given parts match.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct When {
-    /// Customers, any of them.
+    /// Customers, any of which matches.
     pub customers: SmallVec<[Name; 4]>,
-    /// Service that the caller names in `Cowslipford-Service`.
+    /// Service named in the header `Cowslipford-Service`.
     pub service: Option<Name>,
-    /// Methods, any of them, in upper case.
+    /// Methods in upper case, any of which matches.
     pub methods: SmallVec<[String; 2]>,
-    /// Host that the caller names.
+    /// Host of the request.
     pub host: Option<String>,
     /// Prefix of the path.
     pub path: Option<String>,
-    /// Header that must be present, with its value when one is given.
+    /// Header that must be present, and its value if one is given.
     pub header: Option<(String, Option<String>)>,
     /// Data centre of the router.
     pub data_centre: Option<Name>,
@@ -137,11 +138,11 @@
     pub size_max: Option<u64>,
 }
 
-/// Limits that a rule sets, each counted for one customer over the whole fleet.
+/// Limits of a rule, each counted per customer. Rate and concurrency apply to the whole fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Limits {
-    /// Requests started a second.
+    /// Requests per second.
     pub rate: Option<u32>,
     /// Requests in progress.
     pub concurrency: Option<u32>,
@@ -149,78 +150,76 @@
     pub queue: Option<u32>,
 }
 
-/// One service of several that share a rule's requests.
+/// A service to which a rule sends a part of its requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Target {
     /// Service.
     pub service: Name,
-    /// Target of the requests, relative to the other services of the rule.
+    /// Part of the requests, relative to the rule's other targets.
     pub weight: u32,
 }
 
-/// How a request that matches is sent.
+/// How a matching request is forwarded to a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Forward {
-    /// Services that receive it, each by its weight; at least one weighs more
-    /// than 0.
+    /// Services among which requests are divided by weight; at least one weight is above 0.
     pub services: SmallVec<[Target; 1]>,
     /// Limits.
     pub limits: Limits,
-    /// Time-out in milliseconds, in place of the service's.
+    /// Timeout in milliseconds; overrides the service's.
     pub timeout_ms: Option<u64>,
-    /// Time to the first byte of an answer that callers count as on time, in
-    /// milliseconds.
+    /// Target time to the first byte of the response, in milliseconds.
     pub aim_ms: Option<u64>,
-    /// Weight in place of the customer's.
+    /// Weight of the fair share; overrides the customer's.
     pub weight: Option<u32>,
-    /// Rank of its requests, 0 the most urgent.
+    /// Priority of its requests, 0 being the most urgent.
     pub priority: u8,
-    /// Whether it may run twice; `None` goes by service and method.
+    /// Whether a request may run twice; `None` to decide by service and method.
     pub idempotent: Option<bool>,
-    /// Retries at most.
+    /// Most retries.
     pub retries: Option<u32>,
     /// Whether callers without a customer's key may use it.
     pub anonymous: bool,
-    /// Whether a stream that broke off may go on at another endpoint, after the
-    /// last event that arrived whole.
+    /// Whether a stream that broke off may continue at another endpoint, after the last event
+    /// that arrived completely.
     pub resume: bool,
-    /// Regions in which its requests may be served, all if there are none. Where the
-    /// customer has some too, both hold.
+    /// Regions in which its requests may be served; empty for all. If the customer has such
+    /// regions too, both must allow a region.
     pub regions: SmallVec<[Name; 2]>,
 }
 
 impl Forward {
-    /// The service that gets a request, by a number that was drawn for it.
+    /// Selects the service of a request by weight; `draw` is a random number.
     pub fn pick_service(&self, draw: u64) -> Option<&Name> {
         let total: u64 = self.services.iter().map(|p| u64::from(p.weight)).sum();
-        let mut at = draw.checked_rem(total)?;
-        for part in &self.services {
-            let weight = u64::from(part.weight);
-            if at < weight {
-                return Some(&part.service);
+        let mut offset = draw.checked_rem(total)?;
+        for target in &self.services {
+            let weight = u64::from(target.weight);
+            if offset < weight {
+                return Some(&target.service);
             }
-            at -= weight;
+            offset -= weight;
         }
         None
     }
 }
 
-/// What happens to a request that matches.
+/// Action of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Then {
-    /// Queue it for a service.
+    /// Forward the request to a service.
     Send(Box<Forward>),
-    /// Answer 403 with a reason.
+    /// Respond with 403 and a reason.
     Refuse {
-        /// Reason given to the caller.
+        /// Reason in the response.
         reason: String,
     },
 }
 
-/// One when-then rule.
+/// A routing rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Rule {
@@ -228,11 +227,11 @@
     pub name: Name,
     /// Condition.
     pub when: When,
-    /// Consequence.
+    /// Action.
     pub then: Then,
 }
 
-/// What an operator's file says, before numbers are assigned.
+/// A configuration as parsed from an operator's file, before numbers are assigned.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Draft {
@@ -258,30 +257,30 @@
     pub endpoints: BTreeMap<EndpointId, Endpoint>,
     /// Rules; the first that matches decides.
     pub rules: Vec<Rule>,
-    /// Next number to assign; a number is never used twice.
+    /// Next number to assign; numbers are never reused.
     #[serde(rename = "next")]
     pub next_id: u32,
 }
 
 impl Config {
-    /// Name of a service; empty if it is gone.
+    /// Name of a service; empty if it does not exist.
     pub fn service_name(&self, id: ServiceId) -> &str {
         self.services.get(&id).map_or("", |s| s.name.as_str())
     }
 
-    /// Number of the service of that name.
+    /// Number of the service with a name.
     pub fn service(&self, name: &Name) -> Option<ServiceId> {
         let mut all = self.services.iter();
         all.find(|(_, s)| s.name == *name).map(|(id, _)| *id)
     }
 
-    /// Number of the endpoint of that name.
+    /// Number of the endpoint with a name.
     pub fn endpoint(&self, name: &Name) -> Option<EndpointId> {
         let mut all = self.endpoints.iter();
         all.find(|(_, e)| e.name == *name).map(|(id, _)| *id)
     }
 
-    /// The file that would give this configuration.
+    /// The draft that corresponds to this configuration.
     pub fn draft(&self) -> Draft {
         Draft {
             customers: self.customers.values().cloned().collect(),
@@ -292,7 +291,7 @@
     }
 }
 
-/// Look-ups that a router does for each request.
+/// Lookup tables that a router uses for each request.
 #[derive(Clone, Debug, Default)]
 pub struct Index {
     keys: HashMap<Hash, CustomerId>,
@@ -301,17 +300,17 @@
 }
 
 impl Index {
-    /// Customer of a key's hash.
+    /// The customer with a bearer key, by the hash of the key.
     pub fn customer(&self, key: &Hash) -> Option<CustomerId> {
         self.keys.get(key).copied()
     }
 
-    /// Service of a name.
+    /// The service with a name.
     pub fn service(&self, name: &Name) -> Option<ServiceId> {
         self.services.get(name).copied()
     }
 
-    /// Rules by host and path.
+    /// The rules by host and path.
     pub fn routes(&self) -> &Routes {
         &self.routes
     }
@@ -331,7 +330,7 @@
     }
 }
 
-/// A part of a draft that contradicts another part.
+/// An inconsistency between two parts of a draft.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Contradiction {
     /// Kind of the section: `customer`, `service`, `endpoint` or `rule`.
@@ -340,9 +339,9 @@
     pub name: Name,
     /// Key within the section.
     pub key: &'static str,
-    /// Value that contradicts.
+    /// The inconsistent value.
     pub value: String,
-    /// What is allowed.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
@@ -357,7 +356,7 @@
         self.check_count()?;
         let services: BTreeSet<&Name> = self.services.iter().map(|s| &s.name).collect();
         let customers: BTreeSet<&Name> = self.customers.iter().map(|c| &c.name).collect();
-        let known = |set: &BTreeSet<&Name>, kind, name: &Name, key, value: &Name| {
+        let check_reference = |set: &BTreeSet<&Name>, kind, name: &Name, key, value: &Name| {
             if set.contains(value) {
                 return Ok(());
             }
@@ -372,11 +371,11 @@
         };
         for customer in &self.customers {
             for service in &customer.services {
-                known(&services, "customer", &customer.name, "services", service)?;
+                check_reference(&services, "customer", &customer.name, "services", service)?;
             }
         }
         for endpoint in &self.endpoints {
-            known(
+            check_reference(
                 &services,
                 "endpoint",
                 &endpoint.name,
@@ -386,14 +385,14 @@
         }
         for rule in &self.rules {
             for customer in &rule.when.customers {
-                known(&customers, "rule", &rule.name, "when-customer", customer)?;
+                check_reference(&customers, "rule", &rule.name, "when-customer", customer)?;
             }
             if let Some(service) = &rule.when.service {
-                known(&services, "rule", &rule.name, "when-service", service)?;
+                check_reference(&services, "rule", &rule.name, "when-service", service)?;
             }
             if let Then::Send(send) = &rule.then {
-                for part in &send.services {
-                    known(&services, "rule", &rule.name, "service", &part.service)?;
+                for target in &send.services {
+                    check_reference(&services, "rule", &rule.name, "service", &target.service)?;
                 }
                 check_weights(rule, send)?;
             }
@@ -401,22 +400,25 @@
         Ok(())
     }
 
+    /// Checks that names are unique within each kind, and bearer keys among all customers.
     fn check_unique(&self) -> Result<(), Contradiction> {
-        let twice = |kind, names: Vec<&Name>| {
+        let find_duplicate = |kind, names: Vec<&Name>| {
             let mut seen = BTreeSet::new();
-            let double = names.into_iter().find(|n| !seen.insert(*n))?;
+            let duplicate = names.into_iter().find(|n| !seen.insert(*n))?;
             Some(Contradiction {
                 kind,
-                name: double.clone(),
+                name: duplicate.clone(),
                 key: "(section)",
-                value: double.to_string(),
+                value: duplicate.to_string(),
                 allowed: format!("each {kind} once"),
             })
         };
-        let found = twice("customer", self.customers.iter().map(|c| &c.name).collect())
-            .or_else(|| twice("service", self.services.iter().map(|s| &s.name).collect()))
-            .or_else(|| twice("endpoint", self.endpoints.iter().map(|e| &e.name).collect()))
-            .or_else(|| twice("rule", self.rules.iter().map(|r| &r.name).collect()));
+        let found = find_duplicate("customer", self.customers.iter().map(|c| &c.name).collect())
+            .or_else(|| find_duplicate("service", self.services.iter().map(|s| &s.name).collect()))
+            .or_else(|| {
+                find_duplicate("endpoint", self.endpoints.iter().map(|e| &e.name).collect())
+            })
+            .or_else(|| find_duplicate("rule", self.rules.iter().map(|r| &r.name).collect()));
         if let Some(found) = found {
             return Err(found);
         }
@@ -434,7 +436,7 @@
         }
     }
 
-    /// Refuses more rules than their places can number.
+    /// Checks that there are at most [`RULES_MAX`] rules.
     fn check_count(&self) -> Result<(), Contradiction> {
         let Some(rule) = self.rules.get(RULES_MAX) else {
             return Ok(());
@@ -449,7 +451,7 @@
     }
 }
 
-/// Refuses a rule whose requests would go nowhere.
+/// Checks that a rule has a service with a weight above 0.
 fn check_weights(rule: &Rule, send: &Forward) -> Result<(), Contradiction> {
     if send.pick_service(0).is_some() {
         return Ok(());
--- a/components/state/src/delta.rs
+++ b/components/state/src/delta.rs
@@ -1,39 +1,39 @@
-//! The difference between two configurations, as the log and the feed carry it.
+//! The difference between two configurations, as the log and updates of the view carry it.
 
 use crate::config::{Config, Customer, Draft, Endpoint, Rule, Service};
 use crate::id::{CustomerId, EndpointId, Name, ServiceId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Items of one kind that were set or removed.
+/// Changed and removed items of one kind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Items<K, V> {
     /// Items that are new or changed.
     pub set: Vec<(K, V)>,
-    /// Items that are gone.
+    /// Keys of the removed items.
     pub removed: Vec<K>,
 }
 
-/// Rules that stand behind each other in a configuration.
+/// Consecutive rules of the new configuration.
 ///
-/// Their order is their meaning, so that they cannot be told by name alone. Told whole,
+/// The order of rules matters, so they cannot be sent as a set of changed items. Sent whole,
 /// hundreds of rules would go to all processes whenever one of them changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Run {
-    /// As many rules of the configuration before, from a place on.
+    /// Rules copied from the previous configuration.
     Kept {
-        /// Place of the first one.
+        /// Position of the first rule.
         from: u32,
-        /// How many there are.
+        /// Number of rules.
         count: u32,
     },
     /// Rules that are new or changed.
     New(Vec<Rule>),
 }
 
-/// What turns one configuration into the next.
+/// The changes that turn one configuration into the next.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Delta {
@@ -43,7 +43,7 @@
     pub services: Items<ServiceId, Service>,
     /// Endpoints.
     pub endpoints: Items<EndpointId, Endpoint>,
-    /// Where the new rules come from, in their order, when any of them changed.
+    /// The rules in their new order; `None` if they did not change.
     pub rules: Option<Vec<Run>>,
     /// Next number to assign.
     #[serde(rename = "next")]
@@ -51,9 +51,9 @@
 }
 
 impl Delta {
-    /// The delta that turns `config` into what `draft` says.
+    /// The delta that turns `config` into the configuration of `draft`.
     ///
-    /// An item keeps its number as long as its name stays.
+    /// An item keeps its number as long as it keeps its name.
     pub fn between(config: &Config, draft: &Draft) -> Self {
         let mut next = config.next_id;
         Delta {
@@ -61,32 +61,32 @@
                 &config.customers,
                 &draft.customers,
                 |c| &c.name,
-                || CustomerId(number(&mut next)),
+                || CustomerId(take_number(&mut next)),
             ),
             services: items(
                 &config.services,
                 &draft.services,
                 |s| &s.name,
-                || ServiceId(number(&mut next)),
+                || ServiceId(take_number(&mut next)),
             ),
             endpoints: items(
                 &config.endpoints,
                 &draft.endpoints,
                 |e| &e.name,
-                || EndpointId(number(&mut next)),
+                || EndpointId(take_number(&mut next)),
             ),
             rules: (config.rules != draft.rules).then(|| runs(&config.rules, &draft.rules)),
             next_id: next,
         }
     }
 
-    /// Applies the delta.
+    /// Applies the delta to the configuration that it is based on.
     pub fn apply(&self, config: &mut Config) {
         self.customers.apply(&mut config.customers);
         self.services.apply(&mut config.services);
         self.endpoints.apply(&mut config.endpoints);
         if let Some(runs) = &self.rules {
-            config.rules = join(&config.rules, runs);
+            config.rules = expand(&config.rules, runs);
         }
         config.next_id = self.next_id;
     }
@@ -107,16 +107,17 @@
     }
 }
 
-/// Where rules come from that follow on `old` ones.
+/// Expresses the rules `new` as copies from `old` and new rules.
 fn runs(old: &[Rule], new: &[Rule]) -> Vec<Run> {
-    let places: BTreeMap<&Name, usize> = old.iter().zip(0..).map(|(r, n)| (&r.name, n)).collect();
+    let positions: BTreeMap<&Name, usize> =
+        old.iter().zip(0..).map(|(r, n)| (&r.name, n)).collect();
     let mut runs: Vec<Run> = Vec::new();
     for rule in new {
-        let place = places.get(&rule.name).copied();
-        let kept = place.filter(|place| old.get(*place) == Some(rule));
-        let kept = kept.and_then(|place| u32::try_from(place).ok());
+        let position = positions.get(&rule.name).copied();
+        let kept = position.filter(|position| old.get(*position) == Some(rule));
+        let kept = kept.and_then(|position| u32::try_from(position).ok());
         match (kept, runs.last_mut()) {
-            (Some(place), Some(Run::Kept { from, count })) if *from + *count == place => {
+            (Some(position), Some(Run::Kept { from, count })) if *from + *count == position => {
                 *count += 1
             }
             (Some(from), _) => runs.push(Run::Kept { from, count: 1 }),
@@ -127,8 +128,8 @@
     runs
 }
 
-/// The rules that runs give, of which some are kept of `old` ones.
-fn join(old: &[Rule], runs: &[Run]) -> Vec<Rule> {
+/// The rules that runs describe, with copies taken from `old`.
+fn expand(old: &[Rule], runs: &[Run]) -> Vec<Rule> {
     let mut rules = Vec::new();
     for run in runs {
         match run {
@@ -143,13 +144,15 @@
     rules
 }
 
-fn number(next: &mut u32) -> u32 {
+/// Assigns the next number.
+fn take_number(next: &mut u32) -> u32 {
     let number = *next;
     *next += 1;
     number
 }
 
-fn items<K, V, N, F>(old: &BTreeMap<K, V>, new: &[V], name: N, mut fresh: F) -> Items<K, V>
+/// The difference of the items of one kind; `assign` numbers a new item.
+fn items<K, V, N, F>(old: &BTreeMap<K, V>, new: &[V], name: N, mut assign: F) -> Items<K, V>
 where
     K: Ord + Copy,
     V: Clone + PartialEq,
@@ -161,7 +164,7 @@
     let mut set = Vec::new();
     for value in new {
         match ids.get(name(value)) {
-            None => set.push((fresh(), value.clone())),
+            None => set.push((assign(), value.clone())),
             Some(key) => {
                 kept.insert(*key);
                 if old.get(key) != Some(value) {
--- a/components/state/src/evacuation.rs
+++ b/components/state/src/evacuation.rs
@@ -1,4 +1,4 @@
-//! Data centres whose endpoints get no requests, by an operator's order.
+//! Evacuation of data centres: by an operator's order, their endpoints get no requests.
 
 use crate::id::{Name, Version};
 use serde::{Deserialize, Serialize};
@@ -10,24 +10,24 @@
 pub struct Order {
     /// The data centre.
     pub data_centre: Name,
-    /// Whether it is to be evacuated; else its evacuation ends.
+    /// Whether the evacuation begins; otherwise it ends.
     pub is_evacuated: bool,
-    /// Newest version when the order came in. It fences the order: one that was delayed on
-    /// its way must not undo a later one.
+    /// Version of the view when the order was received. An order that was delayed until after a
+    /// later one is refused by it.
     pub base: Version,
 }
 
-/// What was last ordered for a data centre.
+/// Last evacuation of a data centre.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Evacuation {
-    /// Whether it is in force.
+    /// Whether the data centre is evacuated.
     pub is_in_force: bool,
-    /// Version that the order brought.
+    /// Version of the view that began or ended the evacuation.
     pub version: Version,
     /// Leader's wall clock at the order, in microseconds since 1970.
     pub at: u64,
 }
 
-/// What was last ordered for each data centre that an order has named.
+/// Last evacuation of each data centre that was ever evacuated.
 pub type Evacuations = BTreeMap<Name, Evacuation>;
--- a/components/state/src/event.rs
+++ b/components/state/src/event.rs
@@ -1,38 +1,38 @@
-//! Typed events of the time line.
+//! Events of the timeline, which the journal records per process.
 
 use crate::clock::Stamp;
 use crate::id::{CustomerId, EndpointId, Epoch, Name, RequestId, ServiceId, Version};
 use serde::{Deserialize, Serialize};
 
-/// What happened.
+/// Kind of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// A caller's request was taken.
+    /// A router received a request.
     Taken,
     /// The request was queued.
     Queued,
     /// A scheduler granted a slot.
     Granted,
-    /// A router refused or gave back a grant.
+    /// A router returned a grant without using it.
     GrantReturned,
     /// The request was sent to an endpoint.
     Sent,
     /// The request was sent again, to another endpoint.
     Retried,
-    /// The answer ended.
+    /// The response ended.
     Ended,
-    /// The request was refused or given up on.
+    /// The router refused the request, or gave up on it.
     Refused,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
     /// An idempotency key was claimed.
     Claimed,
     /// A new version came into force on this process.
     VersionInForce,
-    /// A scheduler began to work for a service.
+    /// A scheduler for a service started on this process.
     SchedulerBegan,
-    /// A scheduler ended its work for a service.
+    /// A scheduler for a service ended on this process.
     SchedulerEnded,
     /// A link to a peer came up.
     LinkUp,
@@ -44,21 +44,21 @@
     LeaderEnded,
     /// An endpoint was ejected after failures.
     Ejected,
-    /// An ejected endpoint was tried again.
+    /// An ejected endpoint is in use again.
     Restored,
-    /// The process began to stop.
+    /// The process started to shut down.
     Stopping,
     /// A planned stop was announced.
     StopAnnounced,
 }
 
-/// One event of one process.
+/// An event of one process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Event {
-    /// Hybrid logical time.
+    /// Time of the event, by the hybrid logical clock.
     pub stamp: Stamp,
-    /// What happened.
+    /// Kind of the event.
     #[serde(rename = "step")]
     pub kind: Kind,
     /// Request concerned.
@@ -85,7 +85,7 @@
 }
 
 impl Event {
-    /// An event with nothing but its step; the journal stamps it.
+    /// Creates an event of a kind; the journal sets its stamp.
     pub fn new(kind: Kind) -> Self {
         Event {
             stamp: Stamp::default(),
@@ -100,43 +100,43 @@
         }
     }
 
-    /// Names the request.
+    /// Sets the request.
     pub fn request(mut self, id: RequestId) -> Self {
         self.request = Some(id);
         self
     }
 
-    /// Names the customer.
+    /// Sets the customer.
     pub fn customer(mut self, id: CustomerId) -> Self {
         self.customer = Some(id);
         self
     }
 
-    /// Names the service.
+    /// Sets the service.
     pub fn service(mut self, id: ServiceId) -> Self {
         self.service = Some(id);
         self
     }
 
-    /// Names the endpoint.
+    /// Sets the endpoint.
     pub fn endpoint(mut self, id: EndpointId) -> Self {
         self.endpoint = Some(id);
         self
     }
 
-    /// Names the peer.
+    /// Sets the peer.
     pub fn peer(mut self, name: &Name) -> Self {
         self.peer = Some(name.clone());
         self
     }
 
-    /// Names the version.
+    /// Sets the version.
     pub fn version(mut self, version: Version) -> Self {
         self.version = Some(version);
         self
     }
 
-    /// Names the epoch.
+    /// Sets the epoch.
     pub fn epoch(mut self, epoch: Epoch) -> Self {
         self.epoch = Some(epoch);
         self
--- a/components/state/src/fingerprint.rs
+++ b/components/state/src/fingerprint.rs
@@ -1,25 +1,25 @@
-//! What makes two requests the same, whichever router they come to.
+//! Fingerprints by which all routers recognise the same request.
 
 use crate::secret::Hash;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Bytes of a fingerprint: nobody finds another request with the same one.
+/// Length of a fingerprint in bytes: long enough that collisions cannot be found on purpose.
 const LENGTH: usize = 16;
 
-/// Hash of a request's caller, method, host, path and body.
+/// Hash of a request's customer, method, host, path and body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fingerprint([u8; LENGTH]);
 
-/// What a fingerprint is taken of.
+/// The parts of a request that its fingerprint covers.
 #[derive(Clone, Copy, Debug)]
 pub struct Subject<'a> {
-    /// Name of the customer, empty for one without a key.
+    /// Name of the customer; empty for a caller without a key.
     pub customer: &'a str,
     /// Method.
     pub method: &'a str,
-    /// Host that the caller names, empty for none.
+    /// Host of the request; empty for none.
     pub host: &'a str,
     /// Path and query.
     pub path: &'a str,
@@ -37,8 +37,8 @@
             path,
             body,
         } = *subject;
-        let heads = [customer, method, host, path].map(str::as_bytes);
-        let [customer, method, host, path] = heads;
+        let texts = [customer, method, host, path].map(str::as_bytes);
+        let [customer, method, host, path] = texts;
         let Hash(whole) = Hash::of(&[customer, method, host, path, body]);
         let mut short = [0; LENGTH];
         short.copy_from_slice(&whole[..LENGTH]);
@@ -56,13 +56,13 @@
     type Error = String;
 
     fn try_from(raw: &str) -> Result<Self, Self::Error> {
-        let wrong = || format!("{} hexadecimal digits", 2 * LENGTH);
+        let error = || format!("{} hexadecimal digits", 2 * LENGTH);
         if raw.len() != 2 * LENGTH || !raw.is_ascii() {
-            return Err(wrong());
+            return Err(error());
         }
         let mut bytes = [0; LENGTH];
         for (i, byte) in bytes.iter_mut().enumerate() {
-            *byte = u8::from_str_radix(&raw[2 * i..2 * i + 2], 16).map_err(|_| wrong())?;
+            *byte = u8::from_str_radix(&raw[2 * i..2 * i + 2], 16).map_err(|_| error())?;
         }
         Ok(Fingerprint(bytes))
     }
--- a/components/state/src/id.rs
+++ b/components/state/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers: checked names for people, small `Copy` keys for the wire.
+//! Identifiers: validated names for people, small `Copy` keys for messages between VMs.
 
 use crate::secret::Hash;
 use serde::{Deserialize, Serialize};
@@ -7,7 +7,7 @@
 /// Longest name in bytes.
 pub const NAME_MAX: usize = 63;
 
-/// A checked name: 1 to 63 of `a-z`, `0-9`, `-`, starting with a letter.
+/// A validated name: 1 to 63 of `a-z`, `0-9`, `-`, starting with a letter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name(String);
@@ -18,7 +18,7 @@
         &self.0
     }
 
-    /// The name of what has none.
+    /// Placeholder for a missing name.
     pub fn unnamed() -> Self {
         Name("unnamed".to_owned())
     }
@@ -28,11 +28,11 @@
     type Error = String;
 
     fn try_from(raw: String) -> Result<Self, Self::Error> {
-        let head = raw.bytes().next().is_some_and(|b| b.is_ascii_lowercase());
-        let tail = raw
+        let starts_with_letter = raw.bytes().next().is_some_and(|b| b.is_ascii_lowercase());
+        let has_valid_bytes = raw
             .bytes()
             .all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-');
-        if !head || !tail || raw.len() > NAME_MAX {
+        if !starts_with_letter || !has_valid_bytes || raw.len() > NAME_MAX {
             return Err(
                 "a name has 1 to 63 of a-z, 0-9 and '-', and starts with a letter".to_owned(),
             );
@@ -61,7 +61,7 @@
     }
 }
 
-/// Declares a small `Copy` key that the replicated log assigns once.
+/// Declares a small `Copy` key type.
 macro_rules! key {
     ($(#[$doc:meta])* $name:ident($inner:ty)) => {
         $(#[$doc])*
@@ -80,32 +80,32 @@
 }
 
 key!(
-    /// A customer, numbered when first accepted and never used again.
+    /// Number of a customer, assigned when it is first accepted and never reused.
     CustomerId(u32)
 );
 key!(
-    /// A service, numbered when first accepted and never used again.
+    /// Number of a service, assigned when it is first accepted and never reused.
     ServiceId(u32)
 );
 key!(
-    /// An endpoint, numbered when first accepted and never used again.
+    /// Number of an endpoint: assigned by the configuration, or a hash for a listed endpoint.
     EndpointId(u32)
 );
 key!(
-    /// Term of office of one scheduler. A later one has a larger number.
+    /// Number of a scheduler's assignment; a later assignment has a larger one.
     Epoch(u64)
 );
 key!(
-    /// Version of what routers see, one more for each accepted change.
+    /// Version of the view, one more for each committed change.
     Version(u64)
 );
 
-/// A request, unique over the fleet: the router's incarnation and a count.
+/// Identifier of a request, unique in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestId {
-    /// Incarnation of the router that took the request.
+    /// Incarnation of the router that received the request.
     pub router: u64,
-    /// Count within that incarnation.
+    /// Number of the request within that incarnation.
     pub count: u64,
 }
 
@@ -116,15 +116,14 @@
 }
 
 impl EndpointId {
-    /// Number of an endpoint that no configuration has numbered, the same
-    /// wherever it is worked out.
+    /// Number of a listed endpoint whose start time is unknown: a hash, equal on all VMs.
     pub fn of(name: &Name) -> Self {
         EndpointId::hashed(&[name.as_str().as_bytes()])
     }
 
-    /// The same for one start of it, by the Unix millisecond of that start.
-    pub fn of_start(name: &Name, born: u64) -> Self {
-        EndpointId::hashed(&[name.as_str().as_bytes(), &born.to_be_bytes()])
+    /// Number of one start of a listed endpoint, by the Unix time of the start in milliseconds.
+    pub fn of_start(name: &Name, started_ms: u64) -> Self {
+        EndpointId::hashed(&[name.as_str().as_bytes(), &started_ms.to_be_bytes()])
     }
 
     fn hashed(parts: &[&[u8]]) -> Self {
--- a/components/state/src/lib.rs
+++ b/components/state/src/lib.rs
@@ -1,5 +1,6 @@
-//! Pure data of the fleet: identifiers, configuration, replicated records,
-//! outcomes and time-line events. Nothing here does input or output.
+//! Data types shared by all processes of the fleet, and the replicated state machine:
+//! identifiers, configuration, records, the view, outcomes and timeline events. This crate does
+//! no I/O.
 
 pub mod clock;
 pub mod config;
--- a/components/state/src/line.rs
+++ b/components/state/src/line.rs
@@ -1,93 +1,92 @@
-//! Kinds of log lines. Each line names its kind in the field `event`, by which
-//! readers of logs find it.
+//! Kinds of log lines. Each line has its kind in the field `event`, for searches and alerts.
 
-/// What a log line tells of.
+/// Kind of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Line {
-    /// The process serves on its addresses.
+    /// The process listens on its addresses.
     Started,
-    /// The process takes requests.
+    /// The process is ready for requests.
     Ready,
-    /// The process turns callers away.
+    /// The process shuts down and sends callers to other routers.
     Stopping,
     /// The process refuses new requests.
     Closed,
-    /// Requests were still in progress when the time for a stop was up.
+    /// Requests were still in progress at the end of the grace period of a shutdown.
     DrainIncomplete,
-    /// The settings file has changed and is followed.
+    /// The settings file has changed and was applied.
     SettingsReloaded,
-    /// The settings file has changed and cannot be used.
+    /// The settings file has changed but is invalid.
     SettingsRefused,
-    /// A figure of the settings was read as another one.
+    /// A value of the settings was replaced by another one.
     SettingsAdjusted,
-    /// Something that the process needs cannot be reached.
+    /// A dependency of the process cannot be reached.
     DependencyLost,
-    /// It can be reached again.
+    /// The dependency can be reached again.
     DependencyRegained,
-    /// Connections were ended whose callers left an answer unread past its end.
+    /// Connections were closed because their callers did not read a response to its end.
     AnswersUnread,
     /// Log lines were dropped.
     LinesDropped,
-    /// A try of a request is sent to an endpoint.
+    /// A request is sent to an endpoint, first or as a retry.
     RequestSent,
-    /// A try has failed.
+    /// An attempt to run a request has failed.
     TryFailed,
     /// A request has ended.
     RequestEnded,
-    /// What a scheduler believes.
+    /// State of a scheduler.
     SchedulerState,
-    /// What a scheduler gives one customer, and how it stands beside others.
+    /// Share of the service that a scheduler gives to one customer.
     SchedulerShare,
     /// The leader has assigned a scheduler.
     SchedulerAssigned,
-    /// A request is refused from now on, since it has crashed endpoints.
+    /// A request is quarantined because it has crashed endpoints.
     QuarantineBegan,
-    /// It is served again.
+    /// The quarantine of a request has ended.
     QuarantineEnded,
-    /// A data centre's endpoints get no requests from now on.
+    /// The evacuation of a data centre has begun: its endpoints get no requests.
     EvacuationBegan,
-    /// They get requests again.
+    /// The evacuation of a data centre has ended.
     EvacuationEnded,
-    /// An endpoint gets no requests after failures in a row.
+    /// An endpoint gets no requests after consecutive failures.
     EndpointEjected,
-    /// An ejected endpoint has answered.
+    /// An ejected endpoint has answered and gets requests again.
     EndpointRestored,
-    /// An endpoint has said that it wants no requests for a while, or none any more.
+    /// An endpoint has asked for a pause, or for no more requests.
     EndpointBackoff,
-    /// The list of endpoints has changed.
+    /// The platform's list of endpoints has changed.
     EndpointsChanged,
-    /// The platform says that an endpoint leaves, or is back.
+    /// The platform has announced that an endpoint drains, or is back.
     EndpointAnnounced,
-    /// A version is in force in this process.
+    /// A new version of the view is in force in this process.
     VersionInForce,
-    /// The control VMs have changed.
+    /// The members among the control VMs have changed.
     MembersChanged,
-    /// This VM leads the control VMs.
+    /// This VM became the leader of the control VMs.
     LeaderBegan,
-    /// It no longer does.
+    /// This VM is no longer the leader.
     LeaderEnded,
     /// A complete configuration was accepted.
     ReleaseAccepted,
     /// A complete configuration was refused.
     ReleaseRefused,
-    /// Nobody knows yet whether a complete configuration was accepted.
+    /// It is not known yet whether a complete configuration was accepted.
     ReleaseUnanswered,
-    /// The durable state cannot be kept: the process ends.
+    /// The durable state cannot be written, so the process ends.
     StateLost,
-    /// An engine did not tell what it has kept.
+    /// An engine did not report the contents of its cache.
     InventoryMissing,
     /// Entries of the platform's list of endpoints could not be read.
     ListingUnreadable,
     /// A connection could not be accepted.
     AcceptFailed,
-    /// A message to another process could not be written.
+    /// A message to another process could not be sent.
     MessageLost,
-    /// What the process takes of its VM, while that is much.
+    /// Use of the VM's resources by the process, while it is high.
     Pressure,
-    /// New connections are to go to other routers, or may come again.
+    /// The process began or ceased to send new connections to other routers because of its load.
     Overload,
-    /// New callers are to go to other routers since this VM schedules for many, or may come
-    /// again.
+    /// The process began or ceased to send new callers to other routers because it schedules
+    /// for many of them.
     Dedicated,
 }
 
@@ -138,7 +137,7 @@
         Line::Dedicated,
     ];
 
-    /// Its name in logs.
+    /// The value of the field `event`.
     pub fn as_str(self) -> &'static str {
         match self {
             Line::Started => "started",
--- a/components/state/src/listing.rs
+++ b/components/state/src/listing.rs
@@ -1,4 +1,4 @@
-//! The platform's list of endpoints, as one VM reads it for the whole fleet.
+//! The platform's list of endpoints, as processes send it to each other.
 
 use crate::config::Endpoint;
 use crate::id::{EndpointId, Name};
@@ -13,21 +13,21 @@
 pub struct Entry {
     /// The endpoint.
     pub endpoint: Endpoint,
-    /// When it started, in Unix milliseconds, where the list tells.
+    /// When it started, in milliseconds since 1970, if the list says so.
     #[serde(rename = "born")]
     pub started_ms: Option<u64>,
-    /// Whether it gets no new work.
+    /// Whether it drains: it gets no new requests.
     pub leaving: bool,
-    /// Time for which it stays cold, in milliseconds from the moment at which this is told.
+    /// Time for which it stays cold, in milliseconds from the sending of this entry.
     pub cold_ms: u32,
 }
 
 impl Entry {
-    /// Key of this start of the endpoint.
+    /// Number of this start of the endpoint.
     ///
-    /// One that starts again under its name has forgotten everything. Known by its
-    /// name alone, it would be sent prompts for the parts that it had kept, and the
-    /// failures of its earlier life would count against it.
+    /// An endpoint that restarts under the same name has an empty cache. With a number derived
+    /// from its name alone, it would get prompts for prefixes that it no longer holds, and its
+    /// failures before the restart would still count.
     pub fn id(&self) -> EndpointId {
         match self.started_ms {
             None => EndpointId::of(&self.endpoint.name),
@@ -36,34 +36,34 @@
     }
 }
 
-/// All endpoints at one reading.
+/// All listed endpoints at one time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Listing {
-    /// A number drawn for this content.
+    /// Random number that identifies this content.
     pub id: u64,
-    /// The endpoints, in the order of their names.
+    /// The endpoints, sorted by name.
     pub endpoints: Vec<Entry>,
 }
 
-/// What turns one listing into the next.
+/// The difference between two listings.
 ///
-/// The list grows with the fleet, and so does how often it changes: sent whole each time, it
-/// would cost bytes with the square of the fleet.
+/// The length of the list and the rate of its changes both grow with the fleet: sending it whole
+/// each time would cost bytes in proportion to the square of the fleet's size.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Change {
-    /// Number of the listing before.
+    /// Number of the listing to which the change applies.
     pub base: u64,
-    /// Number of the listing after it.
+    /// Number of the listing after the change.
     pub id: u64,
-    /// Endpoints that are new or changed.
+    /// Entries that are new or changed.
     pub set: Vec<Entry>,
-    /// Names of those that are gone.
+    /// Names of the removed endpoints.
     pub gone: Vec<Name>,
 }
 
-/// Endpoints of one service in one data centre.
+/// Number of endpoints of a service in a data centre.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Count {
@@ -73,35 +73,35 @@
     pub region: Name,
     /// The data centre.
     pub data_centre: Name,
-    /// How many there are.
+    /// All endpoints.
     pub all: u32,
-    /// How many of them do not leave.
+    /// Endpoints that do not drain.
     #[serde(rename = "open")]
     pub available: u32,
 }
 
-/// How many endpoints there are, told in place of a listing that is too long for all
-/// processes to hold.
+/// Endpoint counts that are sent in place of a listing that is too long for all processes to
+/// hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Census {
-    /// Number of the listing at which it changed last.
+    /// Number of the listing at which the counts last changed.
     pub id: u64,
-    /// By service and data centre.
+    /// Counts by service and data centre.
     pub counts: Vec<Count>,
 }
 
-/// Counts endpoints, each with whether it leaves.
+/// Counts endpoints; each comes with whether it drains.
 pub fn count_endpoints<'a, E>(endpoints: E) -> Vec<Count>
 where
     E: IntoIterator<Item = (&'a Endpoint, bool)>,
 {
     let mut counts: BTreeMap<(&Name, &Name, &Name), (u32, u32)> = BTreeMap::new();
-    for (endpoint, leaves) in endpoints {
+    for (endpoint, is_leaving) in endpoints {
         let key = (&endpoint.service, &endpoint.region, &endpoint.data_centre);
         let (all, available) = counts.entry(key).or_default();
         *all += 1;
-        *available += u32::from(!leaves);
+        *available += u32::from(!is_leaving);
     }
     let each = counts.into_iter();
     each.map(|((service, region, data_centre), (all, available))| Count {
@@ -115,7 +115,7 @@
 }
 
 impl Listing {
-    /// Whether it has an endpoint of this name.
+    /// Whether the listing has an endpoint with a name.
     pub fn contains(&self, name: &Name) -> bool {
         let found = self
             .endpoints
@@ -123,23 +123,23 @@
         found.is_ok()
     }
 
-    /// What turns `old` into this listing.
+    /// The change that turns `old` into this listing.
     pub fn diff_from(&self, old: &Listing) -> Change {
         let before: BTreeMap<&Name, &Entry> = (old.endpoints.iter())
             .map(|l| (&l.endpoint.name, l))
             .collect();
         let now: BTreeSet<&Name> = self.endpoints.iter().map(|l| &l.endpoint.name).collect();
-        let is_news = |l: &&Entry| before.get(&l.endpoint.name) != Some(l);
+        let is_changed = |l: &&Entry| before.get(&l.endpoint.name) != Some(l);
         let gone = before.keys().copied().filter(|name| !now.contains(name));
         Change {
             base: old.id,
             id: self.id,
             gone: gone.cloned().collect(),
-            set: self.endpoints.iter().filter(is_news).cloned().collect(),
+            set: self.endpoints.iter().filter(is_changed).cloned().collect(),
         }
     }
 
-    /// This listing after a change; `None` if the change is of another one.
+    /// This listing after a change; `None` if the change applies to another listing.
     pub fn with_change(&self, change: &Change) -> Option<Listing> {
         if change.base != self.id {
             return None;
@@ -158,48 +158,48 @@
 }
 
 impl View {
-    /// This view with the endpoints of a listing besides those of its
-    /// configuration.
+    /// A copy of this view with the endpoints of a listing added to those of its configuration.
     pub fn with_listing(&self, listing: &Listing) -> View {
         let mut view = self.clone();
         view.add_listing(listing);
         view
     }
 
-    /// Adds the endpoints of a listing to those that are known.
+    /// Adds the endpoints of a listing that the view does not have yet.
     pub fn add_listing(&mut self, listing: &Listing) {
-        for listed in &listing.endpoints {
-            let id = listed.id();
+        for entry in &listing.endpoints {
+            let id = entry.id();
             let known = self.config.endpoints.contains_key(&id);
-            if known || self.config.service(&listed.endpoint.service).is_none() {
+            if known || self.config.service(&entry.endpoint.service).is_none() {
                 continue;
             }
-            self.config.endpoints.insert(id, listed.endpoint.clone());
-            if listed.leaving {
+            self.config.endpoints.insert(id, entry.endpoint.clone());
+            if entry.leaving {
                 self.leaving.insert(id);
             }
         }
     }
 
-    /// Puts counts in place of a listing whose endpoints are not all held here.
+    /// Sets the counts of listed endpoints that this process does not hold, added to those of the
+    /// configuration.
     pub fn set_census(&mut self, census: &Census) {
         let own = self.config.endpoints.iter();
         let own = count_endpoints(own.map(|(id, endpoint)| (endpoint, self.leaving.contains(id))));
         self.census = Some(own.into_iter().chain(census.counts.clone()).collect());
     }
 
-    /// Whether some endpoints are not held here, but counted alone.
+    /// Whether this process holds only the counts of some endpoints.
     pub fn is_partial(&self) -> bool {
         self.census.is_some()
     }
 
-    /// Endpoints of each service in each data centre, held here or not.
+    /// Number of endpoints of each service in each data centre, held by this process or not.
     pub fn endpoint_counts(&self) -> Cow<'_, [Count]> {
         if let Some(census) = &self.census {
             return Cow::Borrowed(census);
         }
-        let held = self.config.endpoints.iter();
-        let held = held.map(|(id, endpoint)| (endpoint, self.leaving.contains(id)));
-        Cow::Owned(count_endpoints(held))
+        let own = self.config.endpoints.iter();
+        let own = own.map(|(id, endpoint)| (endpoint, self.leaving.contains(id)));
+        Cow::Owned(count_endpoints(own))
     }
 }
--- a/components/state/src/outcome.rs
+++ b/components/state/src/outcome.rs
@@ -1,17 +1,17 @@
-//! What a caller is told about its request.
+//! Outcome of a request, as reported to the caller.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Whether a request was run, as far as the router is certain.
+/// Whether an endpoint has run a request, as far as the router knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// An endpoint answered it.
+    /// An endpoint answered the request.
     Answered,
-    /// No byte of it can have reached an endpoint.
+    /// No byte of the request can have reached an endpoint.
     NotRun,
-    /// It may or may not have run.
+    /// The request may or may not have run.
     Unknown,
 }
 
--- a/components/state/src/record.rs
+++ b/components/state/src/record.rs
@@ -1,4 +1,4 @@
-//! Records of the replicated log and the answers they give.
+//! Records of the replicated log, and the results of applying them.
 
 use crate::clock::Stamp;
 use crate::config::Draft;
@@ -11,81 +11,81 @@
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
-/// Identity of one disk, drawn when its folder is made.
+/// Identity of one disk, drawn at random when its data directory is created.
 ///
-/// A VM whose disk was lost gets a new one: what the old disk promised, the
-/// new one cannot know.
+/// A VM that lost its disk gets a new identity, because the votes and entries of the old disk
+/// are lost.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct DiskId(pub u64);
 
-/// A control VM with its disk.
+/// A member of the consensus group: a control VM with its disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Member {
     /// Identity of the disk.
     pub disk: DiskId,
-    /// Where it is reached.
+    /// The VM and its address.
     #[serde(rename = "place")]
     pub node: Node,
 }
 
-/// Who takes part in agreement.
+/// Members of the consensus group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Members {
-    /// Members whose votes count.
+    /// Members that vote.
     pub voters: SmallVec<[Member; 5]>,
-    /// Members that only receive the log.
+    /// Members that receive the log but do not vote.
     pub learners: SmallVec<[Member; 5]>,
 }
 
 impl Members {
-    /// Whether `disk` votes.
+    /// Whether `disk` is a voter.
     pub fn votes(&self, disk: DiskId) -> bool {
         self.voters.iter().any(|m| m.disk == disk)
     }
 
-    /// All members.
+    /// All voters and learners.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
         self.voters.iter().chain(&self.learners)
     }
 
-    /// Votes that make a majority.
+    /// Number of voters that make a majority.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 }
 
-/// Identity that an operator gives to a change; a resend carries the same.
+/// Identifier that an operator's tool gives to a change; a resend carries the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ChangeId(pub u128);
 
-/// What a finished request with an idempotency key leaves for a resend.
+/// Stored response of a request with an idempotency key, returned for a resend.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Stored {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     /// Content type.
     pub content_type: String,
-    /// Body, when it was small enough to keep.
+    /// Body, if it was small enough to store and has not been trimmed.
     pub body: Option<Vec<u8>>,
 }
 
-/// What is known of a claimed idempotency key.
+/// State of the request that claimed an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Resolution {
-    /// Claimed; the request may be running.
+    /// The request may still be running.
     #[serde(rename = "open")]
     Pending,
-    /// Answered with this.
+    /// The request was answered with this response.
     Answered(Stored),
-    /// The router lost it after sending: it may or may not have run.
+    /// The router lost the request after sending it: it may or may not have run.
     Unknown,
 }
 
@@ -93,11 +93,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Release {
-    /// Number that the operator chose; the highest is in force.
+    /// Number that the operator chose; the highest one is in force.
     pub number: u64,
-    /// The bytes that were sent, to be read back.
+    /// The document as it was sent, for reading it back.
     pub document: Vec<u8>,
-    /// What they say.
+    /// The parsed document.
     pub draft: Draft,
 }
 
@@ -105,90 +105,89 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Record {
-    /// A new leader's first entry, which lets it count older ones as accepted.
+    /// First entry of a new leader, with which it commits entries of earlier terms.
     #[serde(rename = "blank")]
     NoOp,
-    /// An operator's change.
+    /// An operator's change of the configuration.
     Change {
-        /// Identity for resends.
+        /// Identifier that detects resends.
         id: ChangeId,
-        /// Version that it is based on.
+        /// Version of the configuration on which it is based.
         base: Version,
-        /// What it changes.
+        /// The difference to that configuration.
         delta: Box<Delta>,
     },
-    /// An operator's complete configuration, under the number that the operator
-    /// chose. It replaces all of an older number.
+    /// An operator's complete configuration, which replaces one with a lower number.
     Release(Box<Release>),
-    /// A scheduler is assigned.
+    /// A shard is assigned to a scheduler.
     Assignment(Assignment),
-    /// Someone leaves.
+    /// A stop or return is announced.
     Departure(Departure),
-    /// A router claims an idempotency key before it sends.
+    /// A router claims an idempotency key before it sends the request.
     Claim {
-        /// Hash of customer and key.
+        /// Hash of the customer and the key.
         key: Hash,
         /// Customer.
         customer: CustomerId,
-        /// Hash of method, path and body.
+        /// Hash of the method, path and body.
         fingerprint: Hash,
-        /// Request that claims.
+        /// Request that claims the key.
         request: RequestId,
-        /// Leader's wall clock in seconds, for expiry.
+        /// Leader's wall clock in seconds, from which the claim expires.
         at: u64,
     },
-    /// A router reports what became of a claimed request.
+    /// A router reports the end of a request that claimed a key.
     Settle {
-        /// Hash of customer and key.
+        /// Hash of the customer and the key.
         key: Hash,
-        /// Request that claimed.
+        /// Request that claimed the key.
         request: RequestId,
-        /// What is known now; `None` frees a key whose request was not run.
+        /// New state; `None` releases the key because the request was not run.
         known: Option<Resolution>,
     },
-    /// What routers have seen of requests that may crash endpoints, if only that time has
-    /// passed.
+    /// Observations of requests that may crash endpoints. A record without observations only
+    /// expires suspicions and quarantines.
     Suspects {
-        /// Leader's time.
+        /// Leader's clock.
         at: Stamp,
-        /// What was seen.
+        /// The observations.
         evidence: Evidence,
     },
-    /// The members change; in force from the moment it is appended.
+    /// A membership change, in force as soon as it is appended.
     Members(Box<Members>),
-    /// An operator evacuates a data centre, or ends that.
+    /// An operator begins or ends the evacuation of a data centre.
     Evacuation {
-        /// Leader's time.
+        /// Leader's clock.
         at: Stamp,
-        /// What was ordered.
+        /// The order.
         order: Order,
     },
 }
 
 impl Record {
-    /// Whether its size is an operator's choice: it may be megabytes.
+    /// Whether the record holds configuration, which may be megabytes long.
     pub fn is_large(&self) -> bool {
         matches!(self, Record::Change { .. } | Record::Release(_))
     }
 }
 
-/// What applying a record gave.
+/// Result of applying a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Answer {
-    /// Nothing to tell.
+    /// The record has no result.
     Done,
-    /// The change is accepted at this version.
+    /// The change is in force since this version.
     Accepted(Version),
-    /// The change was based on an older version; this one is current.
+    /// The change was refused because it was based on an older version than this current one.
     Conflict(Version),
-    /// The complete configuration with this number is in force: the one that was
-    /// sent, or a newer one.
+    /// The complete configuration with this number is in force: the one that was sent, or one
+    /// with a higher number.
     Released(u64),
-    /// The key is this request's.
+    /// The request has claimed the key.
     #[serde(rename = "fresh")]
     Claimed,
-    /// Another request has the key: its fingerprint and what is known.
+    /// Another request has claimed the key: its fingerprint and its state.
     #[serde(rename = "taken")]
     AlreadyClaimed(Hash, Resolution),
 }
--- a/components/state/src/route.rs
+++ b/components/state/src/route.rs
@@ -1,4 +1,4 @@
-//! An index of the rules, so that one of hundreds is found without a scan.
+//! Index of the rules by host and path, so that routing does not scan hundreds of rules.
 
 use crate::config::{Rule, When};
 use smallvec::SmallVec;
@@ -7,19 +7,19 @@
 /// Positions of rules in their list.
 pub type Positions = SmallVec<[u16; 8]>;
 
-/// Rules by host and path; those that ask for neither stand aside.
+/// Positions of rules by host and path.
 #[derive(Clone, Debug, Default)]
 pub struct Routes {
     hosts: HashMap<String, HashMap<String, SmallVec<[u16; 1]>>>,
-    /// Rules that must be tried one by one.
+    /// Rules that cannot be looked up, and so are candidates for every request.
     others: Vec<u16>,
 }
 
 impl Routes {
     /// Positions of the rules that could match a host and path, in order.
     ///
-    /// Every rule that matches is among them, so that the first of them whose
-    /// condition holds is the first of all rules whose condition holds.
+    /// All matching rules are among them, so the first candidate whose condition holds is
+    /// also the first of all rules whose condition holds.
     pub fn candidates(&self, host: Option<&str>, path: &str) -> Positions {
         let mut found: Positions = self.others.iter().copied().collect();
         let paths = host.and_then(|host| self.hosts.get(host));
@@ -36,24 +36,25 @@
 impl From<&[Rule]> for Routes {
     fn from(rules: &[Rule]) -> Self {
         let mut routes = Routes::default();
-        for (place, rule) in rules.iter().enumerate() {
-            // Rules beyond the largest place are refused by the draft's check.
-            let Ok(place) = u16::try_from(place) else {
+        for (position, rule) in rules.iter().enumerate() {
+            // `Draft::check` refuses configurations with more rules.
+            let Ok(position) = u16::try_from(position) else {
                 break;
             };
             match key(&rule.when) {
                 Some((host, path)) => {
                     let paths = routes.hosts.entry(host.to_owned()).or_default();
-                    paths.entry(path.to_owned()).or_default().push(place);
+                    paths.entry(path.to_owned()).or_default().push(position);
                 }
-                None => routes.others.push(place),
+                None => routes.others.push(position),
             }
         }
         routes
     }
 }
 
-/// Host and path of a rule that can be looked up by them.
+/// Host and path by which a rule can be looked up: it needs a host, and a path that ends
+/// with a slash.
 fn key(when: &When) -> Option<(&str, &str)> {
     let path = when.path.as_deref().filter(|path| path.ends_with('/'))?;
     Some((when.host.as_deref()?, path))
--- a/components/state/src/secret.rs
+++ b/components/state/src/secret.rs
@@ -1,4 +1,4 @@
-//! Hashes of keys: the fleet keeps no caller's or operator's key in the clear.
+//! Hashes of secrets: the fleet never stores the key of a caller or operator in plain text.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -9,7 +9,8 @@
 pub struct Hash(pub [u8; 32]);
 
 impl Hash {
-    /// Hashes the parts, each with its length, so that no two lists collide.
+    /// Hashes the parts. If there are several, each is preceded by its length, so that different
+    /// lists of parts have different inputs.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut sha = Sha256::new();
         for part in parts {
@@ -32,13 +33,13 @@
     type Error = String;
 
     fn try_from(raw: &str) -> Result<Self, Self::Error> {
-        let wrong = || "64 hexadecimal digits: the SHA-256 of the key".to_owned();
+        let error = || "64 hexadecimal digits: the SHA-256 of the key".to_owned();
         if raw.len() != 64 || !raw.is_ascii() {
-            return Err(wrong());
+            return Err(error());
         }
         let mut bytes = [0; 32];
         for (i, byte) in bytes.iter_mut().enumerate() {
-            *byte = u8::from_str_radix(&raw[2 * i..2 * i + 2], 16).map_err(|_| wrong())?;
+            *byte = u8::from_str_radix(&raw[2 * i..2 * i + 2], 16).map_err(|_| error())?;
         }
         Ok(Hash(bytes))
     }
--- a/components/state/src/store.rs
+++ b/components/state/src/store.rs
@@ -1,4 +1,4 @@
-//! The state machine that the replicated log drives.
+//! The state machine to which the control VMs apply the replicated log.
 
 use crate::delta::Delta;
 use crate::evacuation::{Evacuation, Order};
@@ -10,13 +10,13 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Answers to operators' changes kept for resends.
+/// Most answers to operators' changes that are kept for resends.
 pub const ANSWERS_MAX: usize = 10_000;
-/// Seconds for which a claimed idempotency key is kept.
+/// Time for which a claimed idempotency key is kept, in seconds.
 pub const CLAIM_SECONDS: u64 = 24 * 3600;
-/// Claimed keys kept at most; the oldest give way. A control VM has 64 MB.
+/// Most claimed keys; beyond it the oldest are dropped. A control VM has 64 MB of memory.
 pub const CLAIMS_MAX: usize = 200_000;
-/// Bytes of stored answers kept at most; the oldest bodies give way.
+/// Most bytes of stored responses; beyond it the oldest bodies are dropped.
 pub const STORED_BYTES_MAX: usize = 8 * 1024 * 1024;
 
 /// A claimed idempotency key.
@@ -25,52 +25,52 @@
 pub struct Claim {
     /// Customer.
     pub customer: CustomerId,
-    /// Hash of method, path and body.
+    /// Hash of the method, path and body.
     pub fingerprint: Hash,
-    /// Request that claimed.
+    /// Request that claimed the key.
     pub request: RequestId,
     /// Leader's wall clock in seconds at the claim.
     pub at: u64,
-    /// What is known of it.
+    /// State of that request.
     pub known: Resolution,
 }
 
-/// Everything that must survive.
+/// The replicated state, which snapshots store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Store {
-    /// What routers see.
+    /// The part that is sent to all routers.
     pub view: View,
     /// Claimed idempotency keys.
     pub claims: BTreeMap<Hash, Claim>,
-    /// Claims by age, oldest first.
+    /// Times and keys of the claims, oldest first.
     pub claim_ages: VecDeque<(u64, Hash)>,
-    /// Keys whose answers are stored, oldest first.
+    /// Keys with a stored response, oldest first.
     pub stored: VecDeque<Hash>,
-    /// Bytes of stored answers.
+    /// Total bytes of stored bodies.
     pub stored_bytes: usize,
-    /// First answers to changes.
+    /// Answers to operators' changes, returned again for resends.
     pub answers: BTreeMap<ChangeId, Answer>,
-    /// Changes by age, oldest first.
+    /// Identifiers of those changes, oldest first.
     pub answer_ages: VecDeque<ChangeId>,
-    /// The newest complete configuration, as its operator sent it.
+    /// The complete configuration with the highest number, as its operator sent it.
     pub release: Option<Document>,
-    /// Requests that may crash endpoints.
+    /// Requests suspected of crashing endpoints.
     pub suspects: Suspects,
 }
 
-/// A complete configuration in its operator's own words.
+/// A complete configuration as its operator sent it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Document {
     /// Number that the operator chose.
     pub number: u64,
-    /// What was sent.
+    /// The document.
     pub bytes: Vec<u8>,
 }
 
 impl Store {
-    /// Applies a record; gives its answer, and the step if the view changed.
+    /// Applies a record. Returns its result, and the step if it changed the view.
     pub fn apply(&mut self, record: &Record) -> (Answer, Option<Step>) {
         match record {
             Record::NoOp => (Answer::Done, None),
@@ -85,7 +85,7 @@
                 self.step(Change::Assignment(assignment.clone()))
             }
             Record::Departure(departure) if self.view.is_announced(departure) => {
-                // Several may announce the same; it is one departure.
+                // Several senders may announce the same departure.
                 (Answer::Accepted(self.view.version), None)
             }
             Record::Departure(departure) => self.step(Change::Departure(departure.clone())),
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Follows an operator's order for a data centre, unless it was overtaken.
+    /// Begins or ends the evacuation of a data centre, unless a later order is already in force.
     fn evacuate(&mut self, at: u64, order: &Order) -> (Answer, Option<Step>) {
         if self.view.is_evacuated(&order.data_centre) == order.is_evacuated {
             return (Answer::Accepted(self.view.version), None);
@@ -138,6 +138,7 @@
         self.step(Change::Evacuation(order.data_centre.clone(), evacuation))
     }
 
+    /// Applies a change to the view.
     fn step(&mut self, change: Change) -> (Answer, Option<Step>) {
         let version = Version(self.view.version.0 + 1);
         let step = Step { version, change };
@@ -145,7 +146,7 @@
         (Answer::Accepted(version), Some(step))
     }
 
-    /// Counts crashes and clearances; gives the step if routers are to act on it.
+    /// Records observations of suspects; returns the step if the status of a request changed.
     fn suspect(&mut self, now_micros: u64, evidence: &Evidence) -> Option<Step> {
         self.suspects.expire(now_micros);
         (evidence.crashes.iter()).for_each(|c| self.suspects.record_crash(c));
@@ -155,18 +156,17 @@
         (!changes.is_empty()).then(|| self.step(Change::Suspects(changes)).1)?
     }
 
-    /// Tells everyone where the control VMs are.
+    /// Updates the control VMs in the view.
     fn members(&mut self, members: &Members) -> Option<Step> {
-        let places: Vec<Node> = members.voters.iter().map(|m| m.node.clone()).collect();
-        let same = places == self.view.control;
-        (!same).then(|| self.step(Change::Control(places)).1)?
+        let nodes: Vec<Node> = members.voters.iter().map(|m| m.node.clone()).collect();
+        let is_same = nodes == self.view.control;
+        (!is_same).then(|| self.step(Change::Control(nodes)).1)?
     }
 
-    /// Replaces the configuration, if the operator's number is the highest.
+    /// Replaces the configuration if the number of the new one is the highest so far.
     ///
-    /// The difference is worked out here and not by whoever proposes: two
-    /// releases that are under way at once would else both count from the same
-    /// configuration, and the second would bring back parts of it.
+    /// The difference is computed here and not by the proposer: otherwise two concurrent releases
+    /// would both be based on the same configuration, and the second would restore parts of it.
     fn release(&mut self, release: &Release) -> (Answer, Option<Step>) {
         let newest = self.release.as_ref().map(|r| r.number);
         if let Some(newest) = newest.filter(|newest| release.number <= *newest) {
@@ -181,6 +181,7 @@
         (Answer::Released(release.number), step)
     }
 
+    /// Applies an operator's change if it is based on the current configuration.
     fn change(&mut self, id: ChangeId, base: Version, delta: &Delta) -> (Answer, Option<Step>) {
         if let Some(first) = self.answers.get(&id) {
             return (first.clone(), None);
@@ -195,6 +196,7 @@
         (answer, step)
     }
 
+    /// Keeps the answer to a change for resends.
     fn remember(&mut self, id: ChangeId, answer: Answer) {
         self.answers.insert(id, answer);
         self.answer_ages.push_back(id);
@@ -205,10 +207,11 @@
         }
     }
 
+    /// Claims an idempotency key for a request, unless another request has claimed it.
     fn claim(&mut self, key: Hash, claim: Claim) -> Answer {
         self.expire(claim.at);
         if let Some(first) = self.claims.get(&key) {
-            // The same request asks again when it lost the answer.
+            // The router repeats a claim whose answer it did not receive.
             if first.request == claim.request && first.known == Resolution::Pending {
                 return Answer::Claimed;
             }
@@ -222,6 +225,7 @@
         Answer::Claimed
     }
 
+    /// Stores the end of a request that claimed a key, or releases the key.
     fn settle(&mut self, key: &Hash, request: RequestId, known: Option<&Resolution>) {
         let Some(claim) = self.claims.get_mut(key) else {
             return;
@@ -234,15 +238,15 @@
                 claim.known = known.clone();
                 self.stored.push_back(*key);
                 self.stored_bytes += stored_bytes(known);
-                self.trim_stored();
+                self.trim_bodies();
             }
             None => self.remove(key),
         }
     }
 
-    /// Drops the oldest stored bodies beyond the bound; that they were answered
-    /// is still known.
-    fn trim_stored(&mut self) {
+    /// Drops the oldest stored bodies beyond the limit. It is still known that those requests
+    /// were answered.
+    fn trim_bodies(&mut self) {
         while self.stored_bytes > STORED_BYTES_MAX {
             let Some(oldest) = self.stored.pop_front() else {
                 return;
@@ -257,25 +261,28 @@
         }
     }
 
+    /// Removes a claim and its stored response.
     fn remove(&mut self, key: &Hash) {
         if let Some(claim) = self.claims.remove(key) {
             self.stored_bytes -= stored_bytes(&claim.known);
         }
     }
 
+    /// Removes the oldest claim.
     fn drop_oldest(&mut self) {
         let Some((at, key)) = self.claim_ages.pop_front() else {
             return;
         };
-        // A freed key may have been claimed anew, later.
+        // A released key may have been claimed again later.
         if self.claims.get(&key).is_some_and(|c| c.at == at) {
             self.remove(&key);
         }
     }
 
+    /// Removes the claims that have expired.
     fn expire(&mut self, now: u64) {
-        let old = |at: u64| at + CLAIM_SECONDS <= now;
-        while self.claim_ages.front().is_some_and(|(at, _)| old(*at)) {
+        let is_old = |at: u64| at + CLAIM_SECONDS <= now;
+        while self.claim_ages.front().is_some_and(|(at, _)| is_old(*at)) {
             self.drop_oldest();
         }
         while self
@@ -288,7 +295,7 @@
     }
 }
 
-/// Bytes of a body that is kept.
+/// Bytes of the stored body.
 fn stored_bytes(known: &Resolution) -> usize {
     match known {
         Resolution::Answered(stored) => stored.body.as_ref().map_or(0, Vec::len),
--- a/components/state/src/suspect.rs
+++ b/components/state/src/suspect.rs
@@ -1,8 +1,8 @@
-//! Requests suspected of crashing the endpoints that run them, and their quarantine.
+//! Detection and quarantine of requests that crash the endpoints that run them.
 //!
-//! All requests in progress at an endpoint that ends are suspects, and one of them may be
-//! to blame. What is in progress at one crash after the other, and never answered whole in
-//! between, is quarantined.
+//! When an endpoint crashes, each request in progress at it may be the cause and becomes a
+//! suspect. A request that is in progress at several crashes in a row, and never answered
+//! completely in between, is quarantined.
 
 use crate::clock::Stamp;
 use crate::fingerprint::Fingerprint;
@@ -10,39 +10,40 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Crashes after which a request is quarantined.
+/// Crashes from which on a request is quarantined.
 pub const QUARANTINE_CRASHES: u32 = 3;
-/// Crashes after which all routers watch for an answer that clears a request.
+/// Crashes from which on all routers watch for an answer that clears the request.
 pub const WATCH_CRASHES: u32 = 2;
-/// Time for which a quarantine holds first, and a suspicion, in microseconds.
+/// Duration of a first quarantine, and of a suspicion, in microseconds.
 pub const QUARANTINE_MICROS: u64 = 600 * 1_000_000;
-/// Doublings of that time at most: a request that crashes endpoints again after its
-/// quarantine is kept away longer each time.
-const DOUBLINGS_MAX: u32 = 6;
-/// Time for which a whole answer exonerates its request, in microseconds.
+/// Most times that the duration is doubled: it doubles each time a request crashes endpoints
+/// again after its quarantine.
+const QUARANTINE_DOUBLINGS_MAX: u32 = 6;
+/// Time after a complete answer for which crashes do not count against the request, in
+/// microseconds.
 pub const SUCCESS_MICROS: u64 = 10 * 1_000_000;
-/// Answered requests that are remembered for it.
+/// Most answered requests that are remembered for this.
 const SUCCESSES_MAX: usize = 4096;
-/// Suspects that are kept.
+/// Most suspects.
 pub const SUSPECTS_MAX: usize = 2048;
-/// Suspects of one customer that are kept, so that none can crowd out those of others.
+/// Most suspects of one customer, so that no customer can displace the suspects of others.
 pub const CUSTOMER_SUSPECTS_MAX: usize = 256;
 
-/// An endpoint broke off a request, perhaps because the request crashed it.
+/// An endpoint broke off a request, possibly because the request crashed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Crash {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// Whose it is.
+    /// The customer that sent it.
     pub customer: CustomerId,
-    /// When the try was sent.
+    /// When the request was sent to the endpoint.
     pub sent: Stamp,
-    /// When the endpoint broke it off.
+    /// When the endpoint broke off.
     pub at: Stamp,
 }
 
-/// An endpoint has answered a request whole.
+/// An endpoint has answered a request completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Completion {
@@ -52,10 +53,10 @@
     pub at: Stamp,
 }
 
-/// Requests that endpoints have answered whole of late.
+/// Requests that endpoints have recently answered completely.
 ///
-/// A popular request is in progress wherever an endpoint is lost. It would be suspected of
-/// each loss, and quarantined in a storm of them in which few answers come through.
+/// A frequent request is in progress at most endpoints that crash. Without this record it
+/// would be suspected at each crash, and quarantined when many crashes leave few answers.
 #[derive(Clone, Debug, Default)]
 pub struct Successes {
     last: BTreeMap<Fingerprint, Stamp>,
@@ -63,55 +64,55 @@
 }
 
 impl Successes {
-    /// Takes a whole answer.
-    pub fn record(&mut self, clearance: &Completion) {
-        let Completion { fingerprint, at } = *clearance;
+    /// Records a complete answer.
+    pub fn record(&mut self, completion: &Completion) {
+        let Completion { fingerprint, at } = *completion;
         self.last.insert(fingerprint, at);
         self.ages.push_back((at, fingerprint));
-        let is_old = |then: &Stamp| then.wall + SUCCESS_MICROS < at.wall;
-        while let Some((then, fingerprint)) = self.ages.front().copied() {
-            if self.ages.len() <= SUCCESSES_MAX && !is_old(&then) {
+        let is_old = |completed: &Stamp| completed.wall + SUCCESS_MICROS < at.wall;
+        while let Some((completed, fingerprint)) = self.ages.front().copied() {
+            if self.ages.len() <= SUCCESSES_MAX && !is_old(&completed) {
                 return;
             }
             self.ages.pop_front();
-            if self.last.get(&fingerprint) == Some(&then) {
+            if self.last.get(&fingerprint) == Some(&completed) {
                 self.last.remove(&fingerprint);
             }
         }
     }
 
-    /// Whether an answer of late shows that a request has not caused a crash.
+    /// Whether a recent complete answer shows that a request has not caused a crash.
     pub fn rules_out(&self, crash: &Crash) -> bool {
         let last = self.last.get(&crash.fingerprint);
         last.is_some_and(|last| last.wall + SUCCESS_MICROS >= crash.at.wall)
     }
 }
 
-/// What routers have seen of requests that may crash endpoints.
+/// Observations by routers of requests that may crash endpoints.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Evidence {
-    /// Requests that their endpoints broke off.
+    /// Requests that endpoints broke off.
     pub crashes: Vec<Crash>,
-    /// Suspected requests that were answered whole.
+    /// Suspected requests that were answered completely.
     pub cleared: Vec<Completion>,
 }
 
 impl Evidence {
-    /// Whether nothing was seen.
+    /// Whether there are no observations.
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty() && self.cleared.is_empty()
     }
 
-    /// Adds others; beyond `most` crashes, and clearances, the oldest give way.
+    /// Adds others, and keeps the newest `most` crashes and the newest `most` completions.
     pub fn add(&mut self, mut others: Evidence, most: usize) {
         self.crashes.append(&mut others.crashes);
         self.cleared.append(&mut others.cleared);
-        drop_first(&mut self.crashes, most);
-        drop_first(&mut self.cleared, most);
+        keep_last(&mut self.crashes, most);
+        keep_last(&mut self.cleared, most);
     }
 
-    /// Takes the first few out.
+    /// Removes and returns the oldest `most` crashes and completions.
     pub fn take(&mut self, most: usize) -> Evidence {
         let crashes = self.crashes.len().min(most);
         let cleared = self.cleared.len().min(most);
@@ -122,35 +123,36 @@
     }
 }
 
-/// Drops what is before the last `most`.
-fn drop_first<T>(all: &mut Vec<T>, most: usize) {
+/// Removes all but the last `most` items.
+fn keep_last<T>(all: &mut Vec<T>, most: usize) {
     let surplus = all.len().saturating_sub(most);
     all.drain(..surplus);
 }
 
-/// What routers are to do with a request.
+/// How routers treat a suspected request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Status {
-    /// Serve it, and tell when it is answered whole.
+    /// Routers serve it, and report when it is answered completely.
     Watched,
-    /// Refuse it.
+    /// Routers refuse it.
     Quarantined,
 }
 
-/// What routers are to do with requests that are not to be served like any other.
+/// Statuses of all requests that are watched or quarantined.
 pub type Statuses = BTreeMap<Fingerprint, Status>;
 
+/// What is known of one suspected request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct Suspect {
     customer: CustomerId,
     crashes: u32,
-    /// When the last crash that counts happened.
+    /// When the last counted crash happened.
     crashed: Stamp,
-    /// When the suspicion, or the quarantine, ends by itself.
+    /// When the suspicion or quarantine expires.
     until_micros: u64,
-    /// Quarantines that have ended by themselves.
+    /// Number of quarantines that have expired.
     released: u32,
 }
 
@@ -162,8 +164,9 @@
 }
 
 impl Suspect {
-    fn hold_micros(&self) -> u64 {
-        QUARANTINE_MICROS << self.released.min(DOUBLINGS_MAX)
+    /// Duration of the next quarantine.
+    fn quarantine_micros(&self) -> u64 {
+        QUARANTINE_MICROS << self.released.min(QUARANTINE_DOUBLINGS_MAX)
     }
 
     fn is_quarantined(&self) -> bool {
@@ -172,21 +175,21 @@
 }
 
 impl Suspects {
-    /// Takes a crash.
+    /// Records a crash.
     ///
-    /// It counts only if the try was sent after the last one that counted: copies of a
-    /// popular request that are in progress at several endpoints, lost together with their
-    /// rack, tell no more than one of them does. The same holds for a report that comes twice.
+    /// It counts only if the request was sent after the last counted crash: if several endpoints
+    /// are lost together, for example with their rack, copies of a frequent request that were in
+    /// progress at them count as one crash. The same holds for a repeated report.
     pub fn record_crash(&mut self, crash: &Crash) {
         if let Some(suspect) = self.all.get_mut(&crash.fingerprint) {
             if crash.sent > suspect.crashed {
                 suspect.crashes = suspect.crashes.saturating_add(1);
                 suspect.crashed = crash.at;
-                suspect.until_micros = crash.at.wall.saturating_add(suspect.hold_micros());
+                suspect.until_micros = crash.at.wall.saturating_add(suspect.quarantine_micros());
             }
             return;
         }
-        self.make_room(crash.customer);
+        self.evict(crash.customer);
         let suspect = Suspect {
             customer: crash.customer,
             crashes: 1,
@@ -197,83 +200,84 @@
         self.all.insert(crash.fingerprint, suspect);
     }
 
-    /// Takes a whole answer; one that ended before the last crash clears nothing.
-    pub fn record_completion(&mut self, clearance: &Completion) {
-        let suspect = self.all.get(&clearance.fingerprint);
-        if suspect.is_some_and(|s| clearance.at > s.crashed) {
-            self.all.remove(&clearance.fingerprint);
+    /// Records a complete answer. It clears the request unless it ended before the last crash.
+    pub fn record_completion(&mut self, completion: &Completion) {
+        let suspect = self.all.get(&completion.fingerprint);
+        if suspect.is_some_and(|s| completion.at > s.crashed) {
+            self.all.remove(&completion.fingerprint);
         }
     }
 
-    /// Forgets a request whatever is known of it.
+    /// Removes a request from the suspects, also from quarantine.
     pub fn forget(&mut self, fingerprint: &Fingerprint) {
         self.all.remove(fingerprint);
     }
 
-    /// Ends what has lasted long enough. A request that leaves quarantine is watched for as
-    /// long again, and the next crash brings it back.
+    /// Ends suspicions and quarantines that have expired. A request that leaves quarantine is
+    /// watched for as long again, and the next crash quarantines it again.
     pub fn expire(&mut self, now_micros: u64) {
         let is_over = |s: &Suspect| s.until_micros <= now_micros;
         self.all.retain(|_, s| s.is_quarantined() || !is_over(s));
         for suspect in self.all.values_mut().filter(|s| is_over(s)) {
             suspect.crashes = WATCH_CRASHES;
             suspect.released += 1;
-            suspect.until_micros = now_micros.saturating_add(suspect.hold_micros());
+            suspect.until_micros = now_micros.saturating_add(suspect.quarantine_micros());
         }
     }
 
-    /// Whether anything has lasted long enough to be ended.
+    /// Whether any suspicion or quarantine has expired.
     pub fn is_expired(&self, now_micros: u64) -> bool {
         self.all.values().any(|s| s.until_micros <= now_micros)
     }
 
-    /// Whether a request is suspected at all.
+    /// Whether a request is suspected.
     pub fn contains(&self, fingerprint: &Fingerprint) -> bool {
         self.all.contains_key(fingerprint)
     }
 
-    /// What routers are to do with those that have crashed endpoints at least `from` times.
-    pub fn statuses(&self, from: u32) -> Statuses {
-        let told = self.all.iter().filter(|(_, s)| s.crashes >= from);
-        let standing = |s: &Suspect| match s.is_quarantined() {
+    /// Statuses of the requests with at least `min_crashes` crashes.
+    pub fn statuses(&self, min_crashes: u32) -> Statuses {
+        let selected = self.all.iter().filter(|(_, s)| s.crashes >= min_crashes);
+        let status = |s: &Suspect| match s.is_quarantined() {
             true => Status::Quarantined,
             false => Status::Watched,
         };
-        told.map(|(f, s)| (*f, standing(s))).collect()
+        selected.map(|(f, s)| (*f, status(s))).collect()
     }
 
-    /// Suspects that are kept.
+    /// Number of suspects.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// Whether nothing is suspected.
+    /// Whether there are no suspects.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// Drops the least suspected, of the customer if it has its share of all.
-    fn make_room(&mut self, customer: CustomerId) {
-        let own = |s: &Suspect| s.customer == customer;
-        let is_full = self.all.values().filter(|s| own(s)).count() >= CUSTOMER_SUSPECTS_MAX;
+    /// Removes the suspect with the fewest crashes if there are too many, among those of the
+    /// customer if the customer has too many.
+    fn evict(&mut self, customer: CustomerId) {
+        let is_own = |s: &Suspect| s.customer == customer;
+        let is_full = self.all.values().filter(|s| is_own(s)).count() >= CUSTOMER_SUSPECTS_MAX;
         if !is_full && self.all.len() < SUSPECTS_MAX {
             return;
         }
-        let given = self.all.iter().filter(|(_, s)| !is_full || own(s));
-        let least = given.min_by_key(|(_, s)| (s.crashes, s.crashed));
+        let candidates = self.all.iter().filter(|(_, s)| !is_full || is_own(s));
+        let least = candidates.min_by_key(|(_, s)| (s.crashes, s.crashed));
         if let Some(least) = least.map(|(f, _)| *f) {
             self.all.remove(&least);
         }
     }
 }
 
-/// Requests that are suspected less than before.
+/// Requests that are no longer quarantined, or no longer suspected.
 pub fn downgraded(old: &Statuses, new: &Statuses) -> Vec<Fingerprint> {
-    let is_less = |(f, standing): &(&Fingerprint, &Status)| new.get(f) < Some(standing);
-    old.iter().filter(is_less).map(|(f, _)| *f).collect()
+    let is_lower = |(f, status): &(&Fingerprint, &Status)| new.get(f) < Some(status);
+    old.iter().filter(is_lower).map(|(f, _)| *f).collect()
 }
 
-/// The changes that lead from some statuses to others.
+/// The changes that turn `old` into `new`.
 pub fn diff(old: &Statuses, new: &Statuses) -> Vec<(Fingerprint, Option<Status>)> {
     let gone = old.keys().filter(|f| !new.contains_key(f));
     let gone = gone.map(|f| (*f, None));
--- a/components/state/src/view.rs
+++ b/components/state/src/view.rs
@@ -1,4 +1,5 @@
-//! What every router knows of the fleet: configuration, schedulers, departures.
+//! The replicated view of the fleet that every router holds: configuration, assignments of
+//! schedulers, announced stops, quarantines and evacuations.
 
 use crate::clock::Millis;
 use crate::config::{Config, Endpoint};
@@ -12,19 +13,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// A VM and the address of its links.
+/// A VM and the address on which it accepts links from other VMs.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Node {
     /// Name of the VM.
     pub vm: Name,
-    /// Where its links listen.
+    /// Address on which it accepts links.
     pub address: SocketAddr,
 }
 
 impl Node {
-    /// A VM that is known by its address alone, under the name that follows from
-    /// it: a seed has no other name before it was reached.
+    /// A VM that is known only by its address; its name is derived from the address, because
+    /// the real name of a seed is unknown until it was reached.
     pub fn at(address: SocketAddr) -> Self {
         let host = address.ip().to_string().replace(['.', ':'], "-");
         let vm = Name::try_from(format!("vm-{host}"));
@@ -36,18 +37,18 @@
     }
 }
 
-/// One of the equal parts into which many endpoints of a service are divided.
+/// One of the equal parts into which the endpoints of a large shard are split by their number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Cell {
-    /// Which one it is, from 0.
+    /// Index of the cell, from 0.
     pub index: u16,
-    /// How many there are, a power of two.
+    /// Number of cells, a power of two.
     pub of: u16,
 }
 
 impl Cell {
-    /// The part that covers an endpoint, of so many.
+    /// The cell that covers an endpoint, out of `of` cells.
     pub fn covering(id: EndpointId, of: u16) -> Self {
         let of = of.max(1);
         // CAST: the remainder is below `of`.
@@ -55,15 +56,15 @@
         Cell { index, of }
     }
 
-    /// Whether two parts of unlike divisions have endpoints in common.
+    /// Whether two cells, also of different numbers of cells, can have endpoints in common.
     fn overlaps(self, other: Cell) -> bool {
         let of = self.of.min(other.of).max(1);
         self.index % of == other.index % of
     }
 }
 
-/// The endpoints of one service in one region, in one data centre of it or in one of the
-/// cells of either; each has one scheduler.
+/// The set of endpoints that one scheduler manages: those of a service in a region, in one of
+/// its data centres, or in a cell of either.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Shard {
@@ -71,14 +72,14 @@
     pub service: ServiceId,
     /// Region.
     pub region: Name,
-    /// The data centre, where the region's endpoints are divided among schedulers.
+    /// The data centre, if the region is split by data centre.
     pub data_centre: Option<Name>,
-    /// The cell, where there are too many endpoints for one scheduler.
+    /// The cell, if there are too many endpoints for one scheduler.
     pub cell: Option<Cell>,
 }
 
 impl Shard {
-    /// Whether it covers an endpoint of its service.
+    /// Whether the shard covers an endpoint of its service.
     pub fn covers(&self, id: EndpointId, endpoint: &Endpoint) -> bool {
         let is_here = |data_centre: &Name| *data_centre == endpoint.data_centre;
         let is_in = |cell: Cell| Cell::covering(id, cell.of) == cell;
@@ -87,7 +88,7 @@
             && self.cell.is_none_or(is_in)
     }
 
-    /// Whether both have endpoints in common.
+    /// Whether two shards can have endpoints in common.
     fn overlaps(&self, other: &Shard) -> bool {
         let are_apart = |a: &Option<Name>, b: &Option<Name>| {
             let both = a.as_ref().zip(b.as_ref());
@@ -101,29 +102,29 @@
     }
 }
 
-/// Which VM schedules a shard, and in which epoch.
+/// Assignment of a shard to the VM that schedules it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Assignment {
-    /// What it schedules.
+    /// The shard.
     pub shard: Shard,
-    /// Scheduler.
+    /// VM of the scheduler.
     #[serde(rename = "place")]
     pub node: Node,
-    /// Its number; grants of an earlier one are refused.
+    /// Number of the assignment; grants of a scheduler with an earlier epoch are refused.
     pub epoch: Epoch,
 }
 
-/// Someone who leaves, by an announced stop.
+/// Announcement that an endpoint or a VM stops, or is back.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Departure {
-    /// An endpoint gets no new work.
+    /// The endpoint drains: it gets no new requests.
     Endpoint(EndpointId),
-    /// An endpoint is back.
+    /// The endpoint gets requests again.
     EndpointBack(EndpointId),
-    /// A VM drains and ends; the incarnation makes sure that a later life is
-    /// not stopped again.
+    /// The VM drains and then ends. The incarnation identifies the process, so that the order
+    /// does not stop the process that replaces it.
     Vm(Name, u64),
 }
 
@@ -131,82 +132,80 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Change {
-    /// Operators changed the configuration.
+    /// An operator has changed the configuration.
     Config(Delta),
-    /// An operator's complete configuration of this number replaced the one before.
+    /// A complete configuration with this number has replaced the previous one.
     Release(u64, Delta),
-    /// The control VMs are these.
+    /// The voting control VMs.
     Control(Vec<Node>),
     /// A scheduler was assigned.
     Assignment(Assignment),
-    /// Someone leaves.
+    /// An announced stop or return.
     Departure(Departure),
-    /// What is to be done with requests that may crash endpoints; `None` for nothing more.
+    /// New statuses of suspected requests; `None` for a request that is no longer suspected.
     Suspects(Vec<(Fingerprint, Option<Status>)>),
-    /// A data centre is evacuated, or no longer.
+    /// A data centre's evacuation has begun or ended.
     Evacuation(Name, Evacuation),
 }
 
-/// A change with the version that it brings.
+/// A change and the version that it leads to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Step {
-    /// Version after the change; always one more than before it.
+    /// Version after the change, one more than before it.
     pub version: Version,
     /// The change.
     pub change: Change,
 }
 
-/// What is in force, at a version that only grows.
+/// The replicated state that routers act on, at a version that only grows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct View {
-    /// Version.
+    /// Current version.
     pub version: Version,
     /// Configuration.
     pub config: Config,
     /// Version that last changed the configuration; operators base changes on it.
     pub config_version: Version,
-    /// Number of the operator's complete configuration in force, 0 for none.
+    /// Number of the complete configuration in force, 0 for none.
     pub release: u64,
-    /// Control VMs that vote; empty until the first change among them.
+    /// Voting control VMs; empty until the first change of members.
     pub control: Vec<Node>,
-    /// Scheduler of each shard, as pairs because a shard is no JSON key.
+    /// Scheduler of each shard; a list because a shard cannot be a JSON key.
     pub assignments: Vec<Assignment>,
-    /// Endpoints that get no new work.
+    /// Draining endpoints, which get no new requests.
     pub leaving: BTreeSet<EndpointId>,
-    /// VMs told to stop, with the incarnation concerned.
+    /// VMs that were told to stop, with the incarnation that stops.
     pub stopping: BTreeMap<Name, u64>,
-    /// Requests that are watched or quarantined since they may crash endpoints.
+    /// Requests that are watched or quarantined because they may crash endpoints.
     pub suspects: Statuses,
-    /// Data centres that are evacuated, or were.
+    /// Last evacuation of each data centre, in force or ended.
     pub evacuations: Evacuations,
-    /// When endpoints that are cold will be warm, by this process's own clock. Each process
-    /// adds it to its copy.
+    /// When cold endpoints will be warm, by this process's clock; not replicated.
     #[serde(skip)]
     pub warm_at: BTreeMap<EndpointId, Millis>,
-    /// Counts of all endpoints, where this process does not hold them all. Each process adds
-    /// it to its copy.
+    /// Counts of all endpoints, if this process does not hold all of them; not replicated.
     #[serde(skip)]
     pub census: Option<Vec<Count>>,
 }
 
-/// What became of an offered step.
+/// Result of [`View::apply_step`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acceptance {
-    /// It was the next one and is in force.
+    /// The step was the next one and was applied.
     Applied,
-    /// It is older than what is in force, and was dropped.
+    /// The step is not newer than the view and was dropped.
     Stale,
-    /// Steps are missing before it; ask for the whole view.
+    /// Earlier steps are missing; the caller has to request the whole view.
     Gap,
 }
 
 impl View {
-    /// Takes a step if it is the next one.
+    /// Applies a step if it is the next one.
     ///
-    /// A late or doubled message must not bring an older version back: one
-    /// would see `version` fall. Only the exact successor is applied.
+    /// Only the exact successor is applied, so that a delayed or repeated message never brings
+    /// back an older version.
     pub fn apply_step(&mut self, step: &Step) -> Acceptance {
         let next = Version(self.version.0 + 1);
         if step.version < next {
@@ -223,21 +222,21 @@
         Acceptance::Applied
     }
 
-    /// Takes a whole view if it is newer than this one.
+    /// Replaces the view by a newer one; returns false if `whole` is not newer.
     pub fn replace(&mut self, whole: View) -> bool {
-        let newer = whole.version > self.version;
-        if newer {
+        let is_newer = whole.version > self.version;
+        if is_newer {
             *self = whole;
         }
-        newer
+        is_newer
     }
 
-    /// The scheduler of a shard.
+    /// The current assignment of a shard.
     pub fn assignment(&self, shard: &Shard) -> Option<&Assignment> {
         self.assignments.iter().find(|s| s.shard == *shard)
     }
 
-    /// Whether a departure is in force already.
+    /// Whether a departure is already part of the view.
     pub fn is_announced(&self, departure: &Departure) -> bool {
         match departure {
             Departure::Endpoint(id) => self.leaving.contains(id),
@@ -252,13 +251,13 @@
         last.is_some_and(|evacuation| evacuation.is_in_force)
     }
 
-    /// Data centres that are evacuated.
+    /// Data centres whose evacuation is in force.
     pub fn evacuated(&self) -> impl Iterator<Item = &Name> {
         let all = self.evacuations.iter();
         all.filter(|(_, e)| e.is_in_force).map(|(name, _)| name)
     }
 
-    /// Whether an endpoint gets new work.
+    /// Whether an endpoint gets new requests.
     pub fn accepts_work(&self, id: EndpointId, endpoint: &Endpoint) -> bool {
         !self.leaving.contains(&id) && !self.is_evacuated(&endpoint.data_centre)
     }
@@ -272,7 +271,7 @@
             }
             Change::Control(places) => self.control.clone_from(places),
             Change::Assignment(assignment) => {
-                // Those of a division before this one schedule nothing any more.
+                // Assignments of an earlier division into shards end.
                 self.assignments
                     .retain(|s| !s.shard.overlaps(&assignment.shard));
                 self.assignments.push(assignment.clone());
@@ -300,6 +299,8 @@
         }
     }
 
+    /// Applies a change of the configuration, and drops what refers to removed services and
+    /// endpoints.
     fn configure(&mut self, delta: &Delta) {
         delta.apply(&mut self.config);
         let config = &self.config;
