--- a/components/state/tests/delta.rs
+++ b/components/state/tests/delta.rs
@@ -1,4 +1,4 @@
-//! The difference between two configurations.
+//! Differences between two configurations, for rules.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
 use rand::seq::SliceRandom;
@@ -25,8 +25,8 @@
     }
 }
 
-/// Rules that a difference carries in full.
-fn carried(delta: &Delta) -> usize {
+/// Number of rules that a delta carries in full.
+fn full_rules(delta: &Delta) -> usize {
     let runs = delta.rules.iter().flatten();
     let new = runs.map(|run| match run {
         Run::New(rules) => rules.len(),
@@ -35,16 +35,16 @@
     new.sum()
 }
 
-/// Guards against hundreds of rules that go to all processes whenever one of them changes.
+/// Guards against sending hundreds of rules to all processes whenever one of them changes.
 #[test]
-fn can_tell_one_rule_of_a_thousand() {
+fn a_delta_carries_only_the_changed_rule() {
     let mut config = Config::default();
     let mut rules: Vec<Rule> = (0..1000).map(|n| rule(n, 0)).collect();
     Delta::between(&config, &draft(&rules)).apply(&mut config);
     rules[400] = rule(400, 1);
     let delta = Delta::between(&config, &draft(&rules));
     assert_eq!(
-        (carried(&delta), delta.rules.as_ref().unwrap().len()),
+        (full_rules(&delta), delta.rules.as_ref().unwrap().len()),
         (1, 3)
     );
     delta.apply(&mut config);
@@ -52,9 +52,9 @@
     assert_eq!(Delta::between(&config, &draft(&rules)).rules, None);
 }
 
-/// Guards against rules that come out of their order, or are lost, in any mix of changes.
+/// Guards against rules that are lost or reordered by any sequence of changes.
 #[test]
-fn can_follow_any_change_of_rules() {
+fn applies_any_change_of_rules() {
     for seed in 0..200 {
         let mut random = Pcg64::seed_from_u64(seed);
         let mut config = Config::default();
--- a/components/state/tests/evacuation.rs
+++ b/components/state/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Orders to evacuate data centres, in the replicated state.
+//! Orders to evacuate data centres, applied to the replicated state.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
 use state::clock::Stamp;
@@ -11,7 +11,7 @@
     Name::try_from(text).unwrap()
 }
 
-/// Gives an order that came in at version `base`.
+/// Applies an order that was received at version `base`.
 fn order(store: &mut Store, data_centre: &str, is_evacuated: bool, base: u64) -> Answer {
     let record = Record::Evacuation {
         at: Stamp::default(),
@@ -28,9 +28,9 @@
     store.view.evacuated().map(Name::as_str).collect()
 }
 
-/// Guards against an order that changes something when its operator sends it again.
+/// Guards against an order that has another effect when its operator sends it again.
 #[test]
-fn can_take_the_same_order_again() {
+fn a_repeated_order_changes_nothing() {
     let mut store = Store::default();
     assert_eq!(
         order(&mut store, "dc-1", true, 0),
@@ -56,9 +56,9 @@
     assert_eq!(evacuated(&store), ["dc-2"]);
 }
 
-/// Guards against an order that was delayed on its way and undoes a later one.
+/// Guards against a delayed order that undoes a later one.
 #[test]
-fn can_refuse_an_order_that_was_overtaken() {
+fn refuses_an_order_after_a_later_one() {
     let mut store = Store::default();
     order(&mut store, "dc-1", true, 0);
     order(&mut store, "dc-1", false, 1);
@@ -78,9 +78,9 @@
     assert_eq!(evacuated(&store), ["dc-1"]);
 }
 
-/// Guards against an order to end an evacuation that nobody has ordered.
+/// Guards against a record of an evacuation that was ended without having begun.
 #[test]
-fn can_end_what_never_began() {
+fn ending_an_evacuation_that_never_began_changes_nothing() {
     let mut store = Store::default();
     assert_eq!(
         order(&mut store, "dc-1", false, 0),
--- a/components/state/tests/release.rs
+++ b/components/state/tests/release.rs
@@ -1,4 +1,4 @@
-//! Complete configurations under operators' numbers, and the index of rules.
+//! Numbered complete configurations, the choice of a service by weight, and the index of rules.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
 use rand::{Rng, SeedableRng};
@@ -42,10 +42,10 @@
 }
 
 #[test]
-fn can_let_the_highest_number_win_in_any_order() {
+fn the_highest_number_wins_in_any_order() {
     // Symptom: an older configuration is in force after a newer one was accepted.
-    // Sequence: two operators send theirs at once; an older one arrives again.
-    // Cause: a store that takes whatever comes last.
+    // Sequence: two operators send configurations at once; an older one arrives again.
+    // Cause: the store applies whatever arrives last.
     let mut store = Store::default();
     assert_eq!(store.apply(&release(5, &["a", "b"])).0, Answer::Released(5));
     assert_eq!(store.apply(&release(9, &["b", "c"])).0, Answer::Released(9));
@@ -59,10 +59,10 @@
 }
 
 #[test]
-fn can_keep_the_first_content_of_a_number() {
-    // Symptom: what is read back under a number is not what was accepted under it.
-    // Sequence: other content is sent under the number in force.
-    // Cause: an acknowledgement that is taken for a change.
+fn keeps_the_first_content_of_a_number() {
+    // Symptom: the configuration read back under a number differs from the accepted one.
+    // Sequence: other content is sent under the number that is in force.
+    // Cause: the repeated number is acknowledged, and its content is stored.
     let mut store = Store::default();
     store.apply(&release(5, &["a"]));
     let version = store.view.version;
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn can_keep_a_service_its_identity_through_releases() {
+fn a_service_keeps_its_number_through_releases() {
     let mut store = Store::default();
     store.apply(&release(1, &["a", "b"]));
     let b = store.view.config.service(&name("b"));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn can_tell_routers_where_the_control_vms_are() {
+fn the_view_lists_the_voting_control_vms() {
     let member = |n: u64| Member {
         disk: DiskId(n),
         node: Node::at(format!("10.0.0.{n}:7001").parse().unwrap()),
@@ -94,9 +94,9 @@
     };
     let (_, step) = store.apply(&Record::Members(Box::new(members.clone())));
     assert!(step.is_some());
-    let told: Vec<&str> = store.view.control.iter().map(|p| p.vm.as_str()).collect();
-    assert_eq!(told, ["vm-10-0-0-1", "vm-10-0-0-2"]);
-    // The same places again are no news.
+    let names: Vec<&str> = store.view.control.iter().map(|p| p.vm.as_str()).collect();
+    assert_eq!(names, ["vm-10-0-0-1", "vm-10-0-0-2"]);
+    // The same control VMs again change nothing.
     let version = store.view.version;
     assert_eq!(store.apply(&Record::Members(Box::new(members))).1, None);
     assert_eq!(store.view.version, version);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn errors_when_a_rule_sends_nothing_anywhere() {
+fn selects_no_service_without_weights() {
     let send = |weight| Forward {
         services: [Target {
             service: name("a"),
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn can_split_requests_by_weight() {
+fn splits_requests_by_weight() {
     let parts = [("a", 90), ("b", 10), ("c", 0)].map(|(service, weight)| Target {
         service: name(service),
         weight,
@@ -135,18 +135,18 @@
     assert_eq!([count("a"), count("b"), count("c")], [900, 100, 0]);
 }
 
-/// The way without an index: the first rule whose host and path fit.
+/// Lookup without the index: the first rule whose host and path match.
 fn scan(rules: &[Rule], host: &str, path: &str) -> Option<u16> {
-    let fits = |when: &When| {
+    let matches = |when: &When| {
         when.host.as_deref().is_none_or(|h| h == host)
             && when.path.as_deref().is_none_or(|p| path.starts_with(p))
     };
-    let place = rules.iter().position(|rule| fits(&rule.when))?;
-    u16::try_from(place).ok()
+    let position = rules.iter().position(|rule| matches(&rule.when))?;
+    u16::try_from(position).ok()
 }
 
 #[test]
-fn can_find_the_rule_that_a_scan_would_find() {
+fn the_index_finds_the_same_rule_as_a_scan() {
     let mut rng = Pcg64::seed_from_u64(1);
     let mut pick = |all: &[&str]| all[rng.random_range(0..all.len())].to_owned();
     let hosts = ["a.example", "b.example", "c.example"];
@@ -170,8 +170,8 @@
         for host in hosts {
             for path in asked {
                 let candidates = routes.candidates(Some(host), path);
-                let found = candidates.iter().copied().find(|place| {
-                    let rule = &rules[usize::from(*place)];
+                let found = candidates.iter().copied().find(|position| {
+                    let rule = &rules[usize::from(*position)];
                     scan(std::slice::from_ref(rule), host, path).is_some()
                 });
                 assert_eq!(found, scan(&rules, host, path), "{host}{path}");
--- a/components/state/tests/store.rs
+++ b/components/state/tests/store.rs
@@ -1,4 +1,4 @@
-//! The replicated state and the view.
+//! The replicated state machine and the view.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
 use state::clock::Stamp;
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn can_apply_the_difference_of_two_configurations() {
+fn applies_the_difference_of_two_configurations() {
     let mut config = Config::default();
     let first = draft(&[service("a", 1), service("b", 1)]);
     Delta::between(&config, &first).apply(&mut config);
@@ -49,16 +49,16 @@
         (2, 1)
     );
     delta.apply(&mut config);
-    // A name keeps its number, and a number is never used again.
+    // An item keeps its number with its name, and numbers are never reused.
     assert_eq!(config.service(&name("b")), Some(b));
     assert_eq!(config.service(&name("c")), Some(ServiceId(2)));
 }
 
 #[test]
-fn can_only_step_forward() {
+fn a_view_only_moves_forward() {
     // Symptom: an older configuration comes back into force.
     // Sequence: steps arrive late, twice, or with one missing.
-    // Cause: a receiver that takes whatever arrives last.
+    // Cause: the receiver applies whatever arrives last.
     let step = |version| Step {
         version: Version(version),
         change: Change::Departure(Departure::Vm(name("r1"), version)),
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn can_assign_only_a_later_epoch() {
+fn an_assignment_needs_a_later_epoch() {
     let assignment = |epoch| {
         Record::Assignment(Assignment {
             shard: Shard {
@@ -118,10 +118,10 @@
 }
 
 #[test]
-fn can_give_a_key_to_one_request_only() {
+fn only_one_request_claims_a_key() {
     let mut store = Store::default();
     assert_eq!(store.apply(&claim(1, 1, 0)).0, Answer::Claimed);
-    // The same request asks again when it lost the answer.
+    // The router repeats a claim whose answer it did not receive.
     assert_eq!(store.apply(&claim(1, 1, 0)).0, Answer::Claimed);
     let taken = |known| Answer::AlreadyClaimed(Hash([9; 32]), known);
     assert_eq!(store.apply(&claim(1, 2, 0)).0, taken(Resolution::Pending));
@@ -130,7 +130,7 @@
         content_type: String::new(),
         body: None,
     });
-    // Only who claimed it may settle it.
+    // Only the request that claimed the key may settle it.
     store.apply(&settle(1, 2, Some(stored.clone())));
     assert_eq!(store.apply(&claim(1, 2, 0)).0, taken(Resolution::Pending));
     store.apply(&settle(1, 1, Some(stored.clone())));
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn can_free_a_key_whose_request_was_not_run() {
+fn releases_a_key_whose_request_was_not_run() {
     let mut store = Store::default();
     store.apply(&claim(1, 1, 0));
     store.apply(&settle(1, 1, None));
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn can_forget_keys_after_a_day() {
+fn forgets_keys_after_a_day() {
     let mut store = Store::default();
     store.apply(&claim(1, 1, 0));
     store.apply(&claim(2, 2, CLAIM_SECONDS - 1));
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn can_answer_a_resent_change_as_the_first_time() {
+fn answers_a_resent_change_as_the_first_time() {
     let mut store = Store::default();
     let change = |id, base| {
         let delta = Delta::between(&Config::default(), &Draft::default());
@@ -181,10 +181,10 @@
 }
 
 #[test]
-fn can_order_cause_before_effect_whatever_the_clocks_say() {
-    // Symptom: a time line shows an answer before its request.
-    // Sequence: a VM whose clock runs ahead sends to one whose clock lags.
-    // Cause: events ordered by wall clocks.
+fn orders_a_cause_before_its_effect_whatever_the_clocks() {
+    // Symptom: the timeline shows a response before its request.
+    // Sequence: a VM whose clock runs ahead sends to a VM whose clock is behind.
+    // Cause: events are ordered by wall clocks.
     let (mut ahead, mut behind) = (Stamp::default(), Stamp::default());
     let sent = ahead.tick(1_000_000);
     let received = behind.merge(10, sent);
@@ -194,10 +194,10 @@
 }
 
 #[test]
-fn can_bound_what_keys_and_answers_take() {
-    // Symptom: a control VM grows without end, and dies.
-    // Sequence: a customer sends ever new keys, with large answers.
-    // Cause: what is kept for resends is bounded by time alone.
+fn bounds_the_memory_of_keys_and_stored_responses() {
+    // Symptom: the memory of a control VM grows until the process ends.
+    // Sequence: a customer keeps sending new keys, and the responses are large.
+    // Cause: stored responses are limited by age alone.
     let mut store = Store::default();
     let key = |n: u64| Hash::of(&[&n.to_be_bytes()]);
     let body = vec![7; 16 * 1024];
--- a/components/state/tests/suspect.rs
+++ b/components/state/tests/suspect.rs
@@ -1,4 +1,4 @@
-//! Requests suspected of crashing endpoints.
+//! Detection and quarantine of requests that crash endpoints.
 
 use rstest::rstest;
 use state::clock::Stamp;
@@ -30,7 +30,7 @@
     }
 }
 
-/// A try of request `number` that was sent and broken off at these times.
+/// A crash with request `number` in progress, sent and broken off at these times.
 fn crash(number: u32, sent_ms: u64, ended_ms: u64) -> Crash {
     Crash {
         fingerprint: request(number),
@@ -40,7 +40,8 @@
     }
 }
 
-fn answered(number: u32, ms: u64) -> Completion {
+/// A complete answer to request `number`.
+fn completion(number: u32, ms: u64) -> Completion {
     Completion {
         fingerprint: request(number),
         at: at_ms(ms),
@@ -52,7 +53,7 @@
     statuses.get(&request(number)) == Some(&Status::Quarantined)
 }
 
-/// Suspects after request 1 has crashed endpoints so often, a second apart.
+/// Suspects after `times` crashes with request 1 in progress, one second apart.
 fn crashed(times: u32) -> Suspects {
     let mut suspects = Suspects::default();
     for n in 0..u64::from(times) {
@@ -62,17 +63,17 @@
 }
 
 /// Guards against a request that crashes more than three endpoints, and against a
-/// quarantine after fewer.
+/// quarantine after fewer crashes.
 #[test]
-fn can_quarantine_a_request_after_three_crashes() {
+fn quarantines_a_request_after_three_crashes() {
     assert!(!is_quarantined(&crashed(QUARANTINE_CRASHES - 1), 1));
     assert!(is_quarantined(&crashed(QUARANTINE_CRASHES), 1));
 }
 
-/// Guards against the quarantine of a popular request, in progress at several endpoints
-/// that are lost at the same moment.
+/// Guards against the quarantine of a frequent request that is in progress at several
+/// endpoints when all of them are lost at once.
 #[test]
-fn can_tell_crashes_at_one_moment_from_crashes_in_a_row() {
+fn simultaneous_crashes_count_once() {
     let mut suspects = Suspects::default();
     for n in 0..20 {
         suspects.record_crash(&crash(1, n, 500 + n));
@@ -80,9 +81,9 @@
     assert!(!is_quarantined(&suspects, 1));
 }
 
-/// Guards against one crash that counts twice, reported again to the next leader.
+/// Guards against counting a crash twice that is reported again to the next leader.
 #[test]
-fn can_hear_of_a_crash_twice() {
+fn a_repeated_report_counts_once() {
     let mut suspects = crashed(QUARANTINE_CRASHES - 1);
     let last = u64::from(QUARANTINE_CRASHES - 2) * 1000;
     for _ in 0..10 {
@@ -91,34 +92,35 @@
     assert!(!is_quarantined(&suspects, 1));
 }
 
-/// Guards against the quarantine of bystanders that come again through a storm of crashes.
+/// Guards against the quarantine of harmless requests that are repeated while many endpoints
+/// crash.
 #[test]
-fn can_clear_a_request_that_is_answered_between_crashes() {
+fn an_answer_between_crashes_clears_a_request() {
     let mut suspects = Suspects::default();
     for n in 0..30 {
         suspects.record_crash(&crash(1, n * 1000, n * 1000 + 100));
         if n % 2 == 1 {
-            suspects.record_completion(&answered(1, n * 1000 + 500));
+            suspects.record_completion(&completion(1, n * 1000 + 500));
         }
         assert!(!is_quarantined(&suspects, 1), "crash {n}");
     }
 }
 
-/// Guards against an answer that clears a request of crashes after it.
+/// Guards against an answer that clears a request of later crashes.
 #[test]
-fn can_tell_an_answer_that_ended_before_the_last_crash() {
+fn an_answer_before_the_last_crash_clears_nothing() {
     let mut suspects = crashed(QUARANTINE_CRASHES);
     let last = u64::from(QUARANTINE_CRASHES - 1) * 1000 + 100;
-    suspects.record_completion(&answered(1, last));
+    suspects.record_completion(&completion(1, last));
     assert!(is_quarantined(&suspects, 1));
-    suspects.record_completion(&answered(1, last + 1));
+    suspects.record_completion(&completion(1, last + 1));
     assert!(suspects.is_empty());
 }
 
-/// Guards against a quarantine without end, and against one that ends while the request
-/// still crashes endpoints.
+/// Guards against a quarantine without end, and against a request that crashes endpoints
+/// after each quarantine.
 #[test]
-fn can_end_a_quarantine_and_bring_it_back_for_longer() {
+fn a_quarantine_expires_and_doubles_after_another_crash() {
     let mut suspects = crashed(QUARANTINE_CRASHES);
     let mut last_ms = u64::from(QUARANTINE_CRASHES - 1) * 1000 + 100;
     for doubled in 0..4 {
@@ -137,17 +139,21 @@
 #[rstest]
 #[case::suspicion(QUARANTINE_CRASHES - 1, 1)]
 #[case::quarantine(QUARANTINE_CRASHES, 4)]
-fn can_forget_a_request_that_crashes_nothing_more(#[case] crashes: u32, #[case] holds: u64) {
+fn forgets_a_request_that_crashes_no_more_endpoints(
+    #[case] crashes: u32,
+    #[case] quarantines: u64,
+) {
     let mut suspects = crashed(crashes);
     let ended = u64::from(crashes) * 1_000_000;
     suspects.expire(ended + QUARANTINE_MICROS);
-    suspects.expire(ended + (holds + 1) * QUARANTINE_MICROS);
+    suspects.expire(ended + (quarantines + 1) * QUARANTINE_MICROS);
     assert!(suspects.is_empty());
 }
 
-/// Guards against a caller that drives suspects of others out by many bodies that fail once.
+/// Guards against a caller that displaces the suspects of others with many bodies that each
+/// fail once.
 #[test]
-fn can_bound_suspects_of_one_customer_and_of_all() {
+fn bounds_the_suspects_of_one_customer_and_of_all() {
     let mut suspects = crashed(QUARANTINE_CRASHES);
     for customer in 2..40 {
         for n in 0..500 {
@@ -163,6 +169,7 @@
     assert!(is_quarantined(&suspects, 1));
 }
 
+/// A record that reports observations.
 fn report(at: u64, crashes: Vec<Crash>, cleared: Vec<Completion>) -> Record {
     Record::Suspects {
         at: at_ms(at),
@@ -170,49 +177,50 @@
     }
 }
 
-/// Guards against the suspicion of a request that is answered whole all the time.
+/// Guards against the suspicion of a request that is answered completely all the time.
 #[test]
-fn can_exonerate_a_request_that_was_answered_of_late() {
+fn a_recent_answer_rules_out_a_crash() {
     let mut successes = Successes::default();
     assert!(!successes.rules_out(&crash(1, 0, 100)));
-    successes.record(&answered(1, 50));
+    successes.record(&completion(1, 50));
     assert!(successes.rules_out(&crash(1, 40, 100)));
     assert!(!successes.rules_out(&crash(2, 40, 100)));
     let over_ms = 50 + SUCCESS_MICROS / 1000;
     assert!(successes.rules_out(&crash(1, over_ms - 10, over_ms)));
     assert!(!successes.rules_out(&crash(1, over_ms - 10, over_ms + 1)));
-    // The oldest give way.
-    (2..10_000).for_each(|n| successes.record(&answered(n, 60)));
+    // The oldest answers are dropped.
+    (2..10_000).for_each(|n| successes.record(&completion(n, 60)));
     assert!(!successes.rules_out(&crash(1, 40, 100)));
     assert!(successes.rules_out(&crash(9999, 40, 100)));
 }
 
-/// Guards against a router that forgets what it has seen itself once all routers watch.
+/// Guards against a router that forgets its own observations of a request once all routers
+/// watch it.
 #[test]
-fn can_tell_who_is_suspected_less() {
-    let nobody = Statuses::new();
+fn finds_requests_whose_status_was_lowered() {
+    let none = Statuses::new();
     let watched = Statuses::from([(request(1), Status::Watched)]);
     let quarantined = Statuses::from([(request(1), Status::Quarantined)]);
-    for (old, new, is_relieved) in [
-        (&nobody, &watched, false),
+    for (old, new, is_downgraded) in [
+        (&none, &watched, false),
         (&watched, &watched, false),
         (&watched, &quarantined, false),
         (&quarantined, &watched, true),
-        (&watched, &nobody, true),
-        (&quarantined, &nobody, true),
+        (&watched, &none, true),
+        (&quarantined, &none, true),
     ] {
-        assert_eq!(downgraded(old, new).len(), usize::from(is_relieved));
+        assert_eq!(downgraded(old, new).len(), usize::from(is_downgraded));
     }
 }
 
-/// Guards against reports that grow without bound while nobody takes them.
+/// Guards against unreported observations that grow without bound while there is no leader.
 #[test]
-fn can_bound_what_waits_to_be_reported() {
+fn bounds_the_observations_to_report() {
     let mut pending = Evidence::default();
     for n in 0..100 {
         let evidence = Evidence {
             crashes: vec![crash(n, 0, 100)],
-            cleared: vec![answered(n, 100)],
+            cleared: vec![completion(n, 100)],
         };
         pending.add(evidence, 30);
     }
@@ -223,10 +231,10 @@
     assert!(pending.is_empty());
 }
 
-/// Guards against routers that have another verdict than the control VMs: a view that took
-/// each step knows what the store knows.
+/// Guards against routers that treat a request differently from the control VMs: a view that
+/// applies each step has the same statuses as the store.
 #[test]
-fn can_follow_suspects_step_by_step() {
+fn a_view_follows_the_suspects_step_by_step() {
     let mut store = Store::default();
     let mut view = View::default();
     let mut versions = Vec::new();
@@ -238,11 +246,11 @@
         assert_eq!(view, store.view);
     };
     for n in 0..4 {
-        let one = vec![crash(1, n * 1000, n * 1000 + 100)];
-        apply(&report(n * 1000 + 150, one, Vec::new()), &mut store);
+        let crashes = vec![crash(1, n * 1000, n * 1000 + 100)];
+        apply(&report(n * 1000 + 150, crashes, Vec::new()), &mut store);
     }
     apply(
-        &report(9000, Vec::new(), vec![answered(1, 8990)]),
+        &report(9000, Vec::new(), vec![completion(1, 8990)]),
         &mut store,
     );
     let statuses: Vec<Option<Status>> = versions.iter().map(|(_, s)| *s).collect();
