--- a/components/coordination/src/assignment.rs
+++ b/components/coordination/src/assignment.rs
@@ -35,7 +35,7 @@
 struct Candidate {
     site: Site,
     incarnation: u64,
-    heard: Millis,
+    last_heartbeat: Millis,
 }
 
 /// Location of a VM that can run schedulers.
@@ -82,7 +82,7 @@
         let candidate = Candidate {
             site,
             incarnation,
-            heard: now,
+            last_heartbeat: now,
         };
         self.candidates.insert(vm, candidate);
     }
@@ -106,7 +106,7 @@
         }
         let live: BTreeMap<&Name, &Candidate> = (self.candidates.iter())
             .filter(|(vm, c)| {
-                now.since(c.heard) < HEARTBEAT_TIMEOUT_MS
+                now.since(c.last_heartbeat) < HEARTBEAT_TIMEOUT_MS
                     && view.stopping.get(vm) != Some(&c.incarnation)
             })
             .collect();
--- a/components/coordination/src/cell.rs
+++ b/components/coordination/src/cell.rs
@@ -39,8 +39,10 @@
 struct Page {
     service: Name,
     listing: Listing,
+    /// The change that led to `listing`.
     change: Change,
-    asked: Millis,
+    /// When a scheduler last queried the shard.
+    queried: Millis,
 }
 
 /// Endpoints by shard, at a control VM that has the whole list.
@@ -82,10 +84,10 @@
                 service: service.clone(),
                 listing,
                 change: Change::default(),
-                asked: now,
+                queried: now,
             }
         });
-        page.asked = now;
+        page.queried = now;
         if page.listing.id == known_id {
             Answer::Unchanged
         } else if page.change.base == known_id && page.change.id == page.listing.id {
@@ -98,7 +100,7 @@
     /// Applies a change of the whole list to the shards that it concerns, and drops shards that
     /// are no longer queried.
     pub fn apply_change(&mut self, now: Millis, change: &Change) {
-        let is_in_use = |page: &Page| now.since(page.asked) < PAGE_IDLE_MS;
+        let is_in_use = |page: &Page| now.since(page.queried) < PAGE_IDLE_MS;
         self.pages.retain(|_, page| is_in_use(page));
         for (shard, page) in &mut self.pages {
             let is_in_shard = |l: &&Entry| l.endpoint.service == page.service && covers(shard, l);
@@ -135,7 +137,7 @@
 #[derive(Clone, Debug, Default)]
 struct Subscription {
     registry: Registry,
-    asked: Option<Millis>,
+    queried: Option<Millis>,
     /// When the last answer came or the control VM was changed.
     answered: Option<Millis>,
     /// Number of times that a control VM did not answer.
@@ -178,7 +180,7 @@
         let mut queries = Vec::new();
         for (shard, subscription) in &mut self.all {
             if subscription
-                .asked
+                .queried
                 .is_some_and(|at| now.since(at) < POLL_INTERVAL_MS)
             {
                 continue;
@@ -188,7 +190,7 @@
                 subscription.attempt += 1;
                 subscription.answered = Some(now);
             }
-            subscription.asked = Some(now);
+            subscription.queried = Some(now);
             queries.push(Query {
                 shard: shard.clone(),
                 known_id: subscription.registry.listing().id,
--- a/components/coordination/src/consensus/core.rs
+++ b/components/coordination/src/consensus/core.rs
@@ -110,9 +110,13 @@
     pub(super) log: Log,
     pub(super) role: Role,
     pub(super) leader: Option<DiskId>,
+    /// Last index known to be committed.
     pub(super) commit: Index,
+    /// Last index handed out to be applied.
     pub(super) applied: Index,
+    /// Voters that have granted the current pre-vote or vote.
     pub(super) votes: BTreeSet<DiskId>,
+    /// Replication state of each member, while this member leads.
     pub(super) progress: BTreeMap<DiskId, Progress>,
     /// When the current or an earlier leader last sent a message.
     pub(super) leader_contact: Option<Millis>,
@@ -125,8 +129,11 @@
     pub(super) joins: Joins,
     /// Snapshot that is being received: its index and the bytes so far.
     pub(super) incoming: Option<(Index, Vec<u8>)>,
+    /// Effects that the caller has not taken yet.
     pub(super) ready: Ready,
+    /// Time of the latest input.
     clock: Millis,
+    /// State of the generator for election timeouts.
     random: u64,
 }
 
--- a/components/coordination/src/consensus/membership.rs
+++ b/components/coordination/src/consensus/membership.rs
@@ -30,10 +30,10 @@
             return;
         }
         self.joins.next_request_at = now.after(JOIN_INTERVAL_MS);
-        let heard = self.recent_joiners(now);
+        let joiners = self.recent_joiners(now);
         for seed in self.seeds.clone() {
             if seed.vm != self.me.node.vm {
-                self.send_join(&seed, heard.clone(), false);
+                self.send_join(&seed, joiners.clone(), false);
             }
         }
         self.bootstrap_if_all_new(now);
@@ -55,23 +55,23 @@
         nodes.extend(self.members().all().map(|m| m.node.clone()));
         nodes.sort();
         nodes.dedup();
-        let heard: SmallVec<[Member; 5]> = SmallVec::from_iter([self.me.clone()]);
+        let joiners: SmallVec<[Member; 5]> = SmallVec::from_iter([self.me.clone()]);
         for node in nodes {
             if node.vm != self.me.node.vm {
-                self.send_join(&node, heard.clone(), false);
+                self.send_join(&node, joiners.clone(), false);
             }
         }
     }
 
     /// New disks with a valid join request, including this one, ordered by VM.
     fn recent_joiners(&self, now: Millis) -> SmallVec<[Member; 5]> {
-        let mut heard: SmallVec<[Member; 5]> = (self.joins.requests.values())
+        let mut joiners: SmallVec<[Member; 5]> = (self.joins.requests.values())
             .filter(|(at, _, _)| now.since(*at) < JOIN_VALID_MS)
             .map(|(_, member, _)| member.clone())
             .collect();
-        heard.push(self.me.clone());
-        heard.sort_by(|a, b| a.node.vm.cmp(&b.node.vm));
-        heard
+        joiners.push(self.me.clone());
+        joiners.sort_by(|a, b| a.node.vm.cmp(&b.node.vm));
+        joiners
     }
 
     /// Handles a join request, its answer by a group that has bootstrapped, or a request that
@@ -79,8 +79,8 @@
     pub(super) fn on_join(&mut self, now: Millis, node: &Node, join: Join) {
         let Join {
             member,
-            heard,
-            began,
+            joiners,
+            bootstrapped,
         } = join;
         let allowed = match self.admission {
             Admission::Seeds => self.seeds.contains(&member.node),
@@ -93,25 +93,25 @@
         }
         match self.role {
             Role::Newcomer if !self.seeds.contains(&member.node) => {}
-            Role::Newcomer if began && heard.iter().any(|m| m.disk == self.me.disk) => {
-                self.bootstrap(now, heard);
+            Role::Newcomer if bootstrapped && joiners.iter().any(|m| m.disk == self.me.disk) => {
+                self.bootstrap(now, joiners);
             }
             Role::Newcomer => {
                 let vm = member.node.vm.clone();
-                self.joins.requests.insert(vm, (now, member, heard));
+                self.joins.requests.insert(vm, (now, member, joiners));
                 self.bootstrap_if_all_new(now);
             }
             Role::Leader => self.add_learner(member),
             // No answer to an answer: two members would keep answering each other.
-            _ if began => {}
+            _ if bootstrapped => {}
             _ if self.is_founding_disk(member.disk) => {
-                let began = self.log.members_at(Index(0)).voters.clone();
-                self.send_join(&member.node, began, true);
+                let founders = self.log.members_at(Index(0)).voters.clone();
+                self.send_join(&member.node, founders, true);
             }
             _ if member.node == *node => self.forward_join(Join {
                 member,
-                heard,
-                began,
+                joiners,
+                bootstrapped,
             }),
             _ => {}
         }
@@ -138,7 +138,7 @@
     /// would start a second history, and committed changes would be lost. So all seeds must be
     /// present, and all must be new.
     fn bootstrap_if_all_new(&mut self, now: Millis) {
-        let heard = self.recent_joiners(now);
+        let joiners = self.recent_joiners(now);
         let may_bootstrap = match self.admission {
             Admission::Seeds => true,
             // A disk that replaces a lost one is new as well; only the settings tell whether
@@ -148,20 +148,20 @@
             }
         };
         let is_new = may_bootstrap && self.members().voters.is_empty();
-        if !is_new || heard.len() != self.seeds.len() {
+        if !is_new || joiners.len() != self.seeds.len() {
             return;
         }
-        let is_unanimous = (self.joins.requests.values()).all(|(_, _, theirs)| *theirs == heard);
+        let is_unanimous = (self.joins.requests.values()).all(|(_, _, theirs)| *theirs == joiners);
         if !is_unanimous {
             return;
         }
-        self.bootstrap(now, heard);
+        self.bootstrap(now, joiners);
         // The others must learn that this disk has heard from all of them. If this message is
         // lost, their next join request is answered with the same.
         for seed in self.seeds.clone() {
             if seed.vm != self.me.node.vm {
-                let began = self.members().voters.clone();
-                self.send_join(&seed, began, true);
+                let founders = self.members().voters.clone();
+                self.send_join(&seed, founders, true);
             }
         }
     }
@@ -185,12 +185,12 @@
     }
 
     /// Sends a join request with the disks that this one has heard from or bootstrapped with.
-    fn send_join(&mut self, node: &Node, heard: SmallVec<[Member; 5]>, began: bool) {
+    fn send_join(&mut self, node: &Node, joiners: SmallVec<[Member; 5]>, bootstrapped: bool) {
         let member = self.me.clone();
         let join = Join {
             member,
-            heard,
-            began,
+            joiners,
+            bootstrapped,
         };
         self.send(node, None, Message::Join(Box::new(join)));
     }
--- a/components/coordination/src/consensus/message.rs
+++ b/components/coordination/src/consensus/message.rs
@@ -13,9 +13,11 @@
     /// The disk that wants to join, and its node.
     pub member: Member,
     /// New disks from which it has received join requests, including itself.
-    pub heard: SmallVec<[Member; 5]>,
-    /// Whether the disks in `heard` have bootstrapped a group.
-    pub began: bool,
+    #[serde(rename = "heard")]
+    pub joiners: SmallVec<[Member; 5]>,
+    /// Whether the disks in `joiners` have bootstrapped a group.
+    #[serde(rename = "began")]
+    pub bootstrapped: bool,
 }
 
 /// A chunk of a snapshot.
--- a/components/state/src/view.rs
+++ b/components/state/src/view.rs
@@ -269,7 +269,7 @@
                 self.release = *number;
                 self.configure(delta);
             }
-            Change::Control(places) => self.control.clone_from(places),
+            Change::Control(nodes) => self.control.clone_from(nodes),
             Change::Assignment(assignment) => {
                 // Assignments of an earlier division into shards end.
                 self.assignments
