--- a/components/coordination/src/consensus/election.rs
+++ b/components/coordination/src/consensus/election.rs
@@ -13,8 +13,8 @@
     pub(super) fn tick_follower(&mut self, now: Millis) {
         let is_member = self.members().all().any(|m| m.disk == self.me.disk);
         if now >= self.election_deadline && !is_member {
-            // The entry that is_member this member was lost with its leader's term, or the
-            // member was removed: it has to join again.
+            // The entry that added this member was lost with its leader's term, or the member
+            // was removed: it has to join again.
             self.role = Role::Newcomer;
             return;
         }
@@ -124,7 +124,7 @@
         is_lease_over && !is_leader && last >= (self.log.last_term(), self.log.last())
     }
 
-    /// Whether this member may vote when next_term.
+    /// Whether this member may vote when asked.
     ///
     /// A candidate asks only the disks that its log lists as voters, and a leader promotes a
     /// disk to voter only after it has caught up. The entry of that promotion may not have
--- a/components/state/src/suspect.rs
+++ b/components/state/src/suspect.rs
@@ -164,7 +164,7 @@
 }
 
 impl Suspect {
-    /// Duration of the next quarantine.
+    /// Duration of the next suspicion or quarantine.
     fn quarantine_micros(&self) -> u64 {
         QUARANTINE_MICROS << self.released.min(QUARANTINE_DOUBLINGS_MAX)
     }
