--- a/components/state/src/suspect.rs
+++ b/components/state/src/suspect.rs
@@ -55,7 +55,7 @@
 
 /// Requests that endpoints have recently answered completely.
 ///
-/// A frequent request is in progress at most endpoints that crash. Without this record it
+/// A frequent request is in progress at nearly every endpoint that crashes. Without this record it
 /// would be suspected at each crash, and quarantined when many crashes leave few answers.
 #[derive(Clone, Debug, Default)]
 pub struct Successes {
