--- a/components/node/src/batch.rs
+++ b/components/node/src/batch.rs
@@ -1,4 +1,4 @@
-//! Messages of one round of the reactor, joined by receiver.
+//! Messages of one round of the reactor, batched by receiver.
 
 use coordination::ask::{Grant, Refusal, Report};
 use protocol::wire::Message;
@@ -17,7 +17,7 @@
 }
 
 impl Batch {
-    /// Adds a report to a scheduler.
+    /// Adds a report for a scheduler.
     pub(crate) fn report(&mut self, vm: &Name, epoch: Epoch, report: Report) {
         let mut all = self.reports.iter_mut();
         match all.find(|(v, e, _)| v == vm && *e == epoch) {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Adds a grant to a router.
+    /// Adds a grant for a router.
     pub(crate) fn grant(&mut self, vm: &Name, grant: Grant) {
         match self.grants.iter_mut().find(|(v, _)| v == vm) {
             Some((_, grants)) => grants.push(grant),
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Introduces an endpoint to a router, before the grants that name it.
+    /// Adds the address of an endpoint for a router. It is sent before the grants that name the
+    /// endpoint.
     pub(crate) fn introduce(&mut self, vm: &Name, id: EndpointId, endpoint: &Endpoint) {
         let found = self.introductions.iter_mut().find(|(v, _)| v == vm);
         let Some((_, all)) = found else {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Adds a refusal to a router.
+    /// Adds a refusal for a router.
     pub(crate) fn refuse(&mut self, vm: &Name, refusal: Refusal) {
         match self.refusals.iter_mut().find(|(v, _)| v == vm) {
             Some((_, refusals)) => refusals.push(refusal),
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Sends everything. A message without a link is lost with its session.
+    /// Sends all messages. Messages to a VM without a link are lost, like the session with it.
     pub(crate) fn send(&mut self, hub: &Hub) {
         for (vm, epoch, reports) in self.reports.drain(..) {
             hub.send(&vm, Message::Reports(epoch, reports));
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -1,4 +1,5 @@
-//! The control role: the replicated log on its disk, on a thread of its own.
+//! The control role: a member of the replicated log, with its disk, on a thread of its own
+//! because it blocks on the disk.
 
 use crate::input::Input as ReactorInput;
 use crate::journal::Journal;
@@ -27,32 +28,32 @@
 use transport::disk::Folder;
 use transport::link::Hub;
 
-/// Time between two ticks.
-const TICK: Duration = Duration::from_millis(20);
-/// Time between two notes to the reactor that a leader lives, in milliseconds.
-const FRESH_MS: u64 = 500;
-/// Time between two looks for suspicions that have lasted long enough, in milliseconds.
-const EXPIRE_MS: u64 = 5000;
-/// Messages taken in one round, whose records share one sync.
-const ROUND: usize = 512;
+/// Time between two ticks, which drive the timeouts of the replicated log.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time between two messages to the reactor that the leader is alive, in milliseconds.
+const FRESH_INTERVAL_MS: u64 = 500;
+/// Time between two checks for expired suspicions, in milliseconds.
+const EXPIRE_INTERVAL_MS: u64 = 5000;
+/// Largest number of inputs that are handled in one round; their records share one sync.
+const MAX_INPUTS_PER_ROUND: usize = 512;
 
-/// What the control thread is told.
+/// An input of the control thread.
 pub(crate) enum Input {
     /// A link came up.
     Up(Hello),
     /// A link was lost.
     Down(Name),
-    /// A message arrived.
+    /// A message from a VM.
     Message(Name, Message),
-    /// What is the state?
+    /// Asks for the state of the replicated log.
     Status(oneshot::Sender<Status>),
-    /// Which complete configuration is in force here, and at which version?
+    /// Asks for the complete configuration in force here, and the version of the view.
     Document(oneshot::Sender<(Version, Option<Document>)>),
     /// The shards that have endpoints.
     Shards(BTreeSet<Shard>),
-    /// The settings name other control VMs.
+    /// The control VMs in the settings have changed.
     Seeds(Vec<Place>),
-    /// End.
+    /// Ends the thread.
     Stop,
 }
 
@@ -60,81 +61,90 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) struct Status {
-    /// What this VM is: `leader`, `follower` and so on.
+    /// Role of this VM: `leader`, `follower` and so on.
     pub(crate) role: String,
-    /// Term.
+    /// Current term.
     pub(crate) term: u64,
-    /// Leader, if one is known.
+    /// Current leader, if known.
     pub(crate) leader: Option<Name>,
-    /// Last accepted entry.
+    /// Index of the last committed entry.
     pub(crate) accepted: u64,
-    /// Last entry.
+    /// Index of the last entry.
     pub(crate) last: u64,
-    /// Voters.
+    /// Members that vote.
     pub(crate) voters: Vec<Name>,
-    /// Learners.
+    /// Members that do not vote.
     pub(crate) learners: Vec<Name>,
     /// Bytes of log since the last snapshot.
     pub(crate) log_bytes: u64,
-    /// Syncs since the start.
+    /// Disk syncs since the process started.
     pub(crate) syncs: u64,
-    /// Idempotency keys kept.
+    /// Number of stored idempotency keys.
     pub(crate) claims: usize,
 }
 
-/// What the control role is given.
+/// Dependencies and settings of the control role.
 pub(crate) struct Parts {
-    /// This VM.
+    /// Name and address of this VM.
     pub(crate) place: Place,
-    /// Control VMs.
+    /// Control VMs named in the settings.
     pub(crate) seeds: Vec<Place>,
-    /// Who may become a member.
+    /// Rule for which VMs may become members.
     pub(crate) admission: Admission,
-    /// Data folder.
+    /// Folder of the log and its snapshots.
     pub(crate) data: PathBuf,
     /// Bytes of log after which a snapshot is taken.
     pub(crate) compact_bytes: u64,
-    /// Links.
+    /// Links to other processes.
     pub(crate) hub: Hub,
-    /// Clock.
+    /// Clock of this process.
     pub(crate) clock: Clock,
-    /// Time line.
+    /// Recorder of time-line events.
     pub(crate) journal: Journal,
-    /// Metrics.
+    /// Metrics of this process.
     pub(crate) metrics: Metrics,
-    /// The reactor.
+    /// Channel to the reactor.
     pub(crate) reactor: flume::Sender<ReactorInput>,
 }
 
-/// The control role.
+/// A member of the replicated log, with the state that its committed entries produce.
 pub(crate) struct Control {
     parts: Parts,
+    /// The consensus algorithm.
     core: Core,
+    /// The log on disk.
     folder: Folder,
+    /// State produced by the applied entries.
     store: Store,
-    assignments: Assigner,
+    /// Chooses VMs for schedulers while this VM is the leader.
+    assigner: Assigner,
+    /// Shards that have endpoints.
     shards: BTreeSet<Shard>,
-    /// Members as the reactor was last told.
+    /// Members as last sent to the reactor.
     members: Vec<Place>,
-    /// Places of peers with a link, as they introduced themselves.
+    /// Addresses of peers with a link, from their greetings.
     places: HashMap<Name, Place>,
-    /// Who waits for the entry of a term at an index to be applied.
+    /// Queries that wait for an entry to be applied, by its index: term of the entry, VM that
+    /// asked, and ID of the query.
     waiters: BTreeMap<Index, (Term, Name, u64)>,
-    /// Entries whose assignments are not applied yet.
+    /// Index of the last proposed assignment. No others are planned until it is committed.
     assigned_until: Index,
-    /// When suspicions are next looked through for those that have lasted long enough.
-    expire_at: Millis,
+    /// When to check for expired suspicions next.
+    next_expire_at: Millis,
+    /// Whether this VM was the leader at the last tick.
     was_leader: bool,
+    /// Whether the view was current when this was last sent to the reactor.
     fresh: bool,
+    /// When that was last sent.
     fresh_at: Millis,
 }
 
 impl Control {
-    /// Opens the disk and starts as what it held.
+    /// Opens the log on disk and restores the state from it.
     ///
     /// # Errors
     ///
-    /// When the disk cannot be read or is damaged.
+    /// If the disk cannot be read or its contents are damaged.
     pub(crate) fn open(parts: Parts) -> Result<Self> {
         let (mut folder, start) = Folder::open(&parts.data, Disk(rand::random()))?;
         folder.set_compact_bytes(parts.compact_bytes);
@@ -155,54 +165,57 @@
             core,
             folder,
             store,
-            assignments: Assigner::default(),
+            assigner: Assigner::default(),
             shards: BTreeSet::new(),
             members: Vec::new(),
             places: HashMap::new(),
             waiters: BTreeMap::new(),
             assigned_until: Index(0),
-            expire_at: Millis(0),
+            next_expire_at: Millis(0),
             was_leader: false,
             fresh: false,
             fresh_at: Millis(0),
             parts,
         };
-        control.restored();
+        control.send_view();
         Ok(control)
     }
 
-    /// Runs until told to stop.
+    /// Runs until [`Input::Stop`].
     ///
     /// # Errors
     ///
-    /// When the disk refuses: what it holds is unknown then, and the process
-    /// must end.
+    /// If a write to the disk fails: its contents are unknown then, and the process must end.
     pub(crate) fn run(mut self, inputs: &flume::Receiver<Input>) -> Result<()> {
-        let mut ticked = Millis(0);
+        let mut last_tick = Millis(0);
         loop {
-            let first = match inputs.recv_timeout(TICK) {
+            let first = match inputs.recv_timeout(TICK_INTERVAL) {
                 Ok(input) => Some(input),
                 Err(flume::RecvTimeoutError::Timeout) => None,
                 Err(flume::RecvTimeoutError::Disconnected) => return Ok(()),
             };
-            for input in first.into_iter().chain(inputs.try_iter().take(ROUND)) {
+            for input in first
+                .into_iter()
+                .chain(inputs.try_iter().take(MAX_INPUTS_PER_ROUND))
+            {
                 if matches!(input, Input::Stop) {
                     return Ok(());
                 }
-                self.input(input);
+                self.handle_input(input);
             }
             let now = self.parts.clock.now();
-            // CAST: a tick is far below 2^64 milliseconds.
-            if now.since(ticked) >= TICK.as_millis() as u64 {
-                ticked = now;
+            // CAST: the interval is far below 2^64 milliseconds.
+            if now.since(last_tick) >= TICK_INTERVAL.as_millis() as u64 {
+                last_tick = now;
                 self.core.tick(now);
                 self.lead(now);
             }
-            self.settle()?;
+            self.process_ready()?;
         }
     }
 
-    fn input(&mut self, input: Input) {
+    /// Handles one input.
+    fn handle_input(&mut self, input: Input) {
         let now = self.parts.clock.now();
         match input {
             Input::Up(hello) => {
@@ -210,14 +223,14 @@
             }
             Input::Down(vm) => {
                 self.places.remove(&vm);
-                self.assignments.lost(&vm);
+                self.assigner.lost(&vm);
             }
-            Input::Message(vm, message) => self.message(now, &vm, message),
-            // Whoever asked may have gone.
+            Input::Message(vm, message) => self.handle_message(now, &vm, message),
+            // The receiver may have been dropped.
             Input::Status(reply) => drop(reply.send(self.status())),
             Input::Document(reply) => {
                 let document = self.store.release.clone();
-                // Whoever asked may have gone.
+                // The receiver may have been dropped.
                 let _ = reply.send((self.store.view.version, document));
             }
             Input::Shards(shards) => self.shards = shards,
@@ -229,7 +242,8 @@
         }
     }
 
-    fn message(&mut self, now: Millis, vm: &Name, message: Message) {
+    /// Handles a message from a VM whose address is known.
+    fn handle_message(&mut self, now: Millis, vm: &Name, message: Message) {
         let own = (*vm == self.parts.place.vm).then(|| self.parts.place.clone());
         let Some(place) = own.or_else(|| self.places.get(vm).cloned()) else {
             return;
@@ -248,15 +262,15 @@
                     region,
                     data_centre,
                 };
-                self.assignments.heard(now, site, incarnation);
+                self.assigner.heard(now, site, incarnation);
             }
-            Message::Query(id, query) => self.query(now, vm, id, query),
+            Message::Query(id, query) => self.handle_query(now, vm, id, query),
             _ => {}
         }
     }
 
-    /// Whether a VM may take part in agreement. Where members are not known
-    /// beforehand, one that runs the control role is told by its calls alone.
+    /// Whether a VM may send messages of the replicated log. If members are not named in the
+    /// settings, any VM that sends such messages is assumed to run the control role.
     fn is_control(&self, vm: &Name) -> bool {
         match self.parts.admission {
             Admission::Seeds => self.parts.seeds.iter().any(|s| s.vm == *vm),
@@ -264,7 +278,8 @@
         }
     }
 
-    fn query(&mut self, now: Millis, vm: &Name, id: u64, query: Query) {
+    /// Answers a query, or proposes the record that it asks for and lets the VM wait.
+    fn handle_query(&mut self, now: Millis, vm: &Name, id: u64, query: Query) {
         if !self.core.may_serve(now) {
             let leader = self.core.leader().filter(|l| l.vm != self.parts.place.vm);
             self.reply(vm, id, Reply::NotLeader(leader));
@@ -277,7 +292,7 @@
             }
             other => self.record(other),
         };
-        let record = record.and_then(checked);
+        let record = record.and_then(check_size);
         let proposed = record.map(|record| self.core.propose(now, record));
         match proposed {
             Ok(Ok(index)) => {
@@ -294,7 +309,7 @@
         }
     }
 
-    /// The record that a query asks for, or why it is wrong.
+    /// Converts a query into a log record, or explains why it is invalid.
     fn record(&self, query: Query) -> Result<Record, String> {
         match query {
             Query::Head => Ok(Record::Blank),
@@ -338,6 +353,7 @@
         }
     }
 
+    /// Converts the names in an announcement of a departure into IDs.
     fn departure(&self, leaving: Leaving) -> Result<Departure, String> {
         let endpoint = |name: &Name| {
             let found = self.store.view.config.endpoint(name);
@@ -350,24 +366,24 @@
         }
     }
 
-    /// What only a leader does: assigns schedulers.
+    /// Performs the leader's work: expires suspicions and assigns schedulers.
     fn lead(&mut self, now: Millis) {
         let leads = self.core.role() == Role::Leader;
         if leads != self.was_leader {
             self.was_leader = leads;
-            self.to_reactor(ReactorInput::Leads(leads));
-            self.note_role(leads);
+            self.send_to_reactor(ReactorInput::Leadership(leads));
+            self.log_role(leads);
             if leads {
-                self.assignments.begin(now);
+                self.assigner.begin(now);
             } else {
-                self.give_up_waiters();
+                self.reject_waiters();
             }
         }
         if !leads || !self.core.may_serve(now) || self.core.commit() < self.assigned_until {
             return;
         }
         self.expire_suspects(now);
-        for assignment in self.assignments.plan(now, &self.store.view, &self.shards) {
+        for assignment in self.assigner.plan(now, &self.store.view, &self.shards) {
             tracing::info!(
                 event = Line::SchedulerAssigned.as_str(),
                 vm = %assignment.place.vm,
@@ -382,12 +398,12 @@
         }
     }
 
-    /// Ends suspicions and quarantines that have lasted long enough.
+    /// Proposes to end suspicions and quarantines that have expired.
     fn expire_suspects(&mut self, now: Millis) {
-        if now < self.expire_at {
+        if now < self.next_expire_at {
             return;
         }
-        self.expire_at = now.after(EXPIRE_MS);
+        self.next_expire_at = now.after(EXPIRE_INTERVAL_MS);
         let at = self.parts.clock.stamp();
         if !self.store.suspects.is_expired(at.wall) {
             return;
@@ -396,11 +412,12 @@
             at,
             evidence: Evidence::default(),
         };
-        // Refused, it is tried again: nothing has expired yet.
+        // A proposal that is refused is made again at the next check.
         let _ = self.core.propose(now, record);
     }
 
-    fn note_role(&self, leads: bool) {
+    /// Logs that this VM has become the leader or no longer is.
+    fn log_role(&self, leads: bool) {
         let term = self.core.term().0;
         let step = if leads {
             tracing::info!(event = Line::LeaderBegan.as_str(), term);
@@ -414,16 +431,16 @@
             .note(Event::new(step).version(Version(term)));
     }
 
-    /// Tells those who wait to ask the next leader. Their records may still be
-    /// accepted; the identities that they carry make asking again harmless.
-    fn give_up_waiters(&mut self) {
+    /// Tells waiting callers to ask the next leader. Their records may still be committed; the IDs
+    /// that the records carry make a second attempt harmless.
+    fn reject_waiters(&mut self) {
         for (_, vm, id) in std::mem::take(&mut self.waiters).into_values() {
             self.reply(&vm, id, Reply::NotLeader(None));
         }
     }
 
-    /// Writes, syncs, sends and applies until nothing is left to do.
-    fn settle(&mut self) -> Result<()> {
+    /// Writes, syncs, sends and applies until the consensus algorithm has nothing left to do.
+    fn process_ready(&mut self) -> Result<()> {
         loop {
             let ready = self.core.ready();
             if ready.is_empty() {
@@ -440,16 +457,17 @@
         if self.folder.wants_snapshot() {
             self.compact()?;
         }
-        self.tell_fresh();
-        self.tell_members();
+        self.send_fresh();
+        self.send_members();
         Ok(())
     }
 
-    /// Reaches all members, whom the settings need not name.
-    fn tell_members(&mut self) {
+    /// Sends the reactor the members if they have changed, so that it opens links to them. The
+    /// settings need not name them.
+    fn send_members(&mut self) {
         let members = self.core.members();
-        let same = members.all().map(|m| &m.place).eq(self.members.iter());
-        if same {
+        let is_same = members.all().map(|m| &m.place).eq(self.members.iter());
+        if is_same {
             return;
         }
         self.members = members.all().map(|m| m.place.clone()).collect();
@@ -458,23 +476,24 @@
             voters = ?members.voters.iter().map(|m| m.place.vm.as_str()).collect::<Vec<_>>(),
             learners = ?members.learners.iter().map(|m| m.place.vm.as_str()).collect::<Vec<_>>(),
         );
-        self.to_reactor(ReactorInput::Members(self.members.clone()));
+        self.send_to_reactor(ReactorInput::Members(self.members.clone()));
     }
 
+    /// Sends messages, installs a snapshot and applies committed entries.
     fn carry_out(&mut self, ready: Ready) -> Result<()> {
         for (place, envelope) in ready.messages {
             self.parts.hub.send(&place.vm, Message::Agree(envelope));
         }
         if let Some(snapshot) = ready.install {
             self.store = restore(&snapshot)?;
-            self.restored();
+            self.send_view();
         }
         let mut steps = Vec::new();
         for entry in ready.accepted {
             let (answer, step) = self.store.apply(&entry.record);
             steps.extend(step);
             if let Some((term, vm, id)) = self.waiters.remove(&entry.index) {
-                // Another leader's record may stand where ours was to be.
+                // The entry at this index may be another leader's instead.
                 let reply = if term == entry.term {
                     Reply::Answer(answer)
                 } else {
@@ -484,13 +503,13 @@
             }
         }
         if !steps.is_empty() {
-            self.to_reactor(ReactorInput::Applied(steps));
+            self.send_to_reactor(ReactorInput::Applied(steps));
         }
-        self.measure();
+        self.update_metrics();
         Ok(())
     }
 
-    /// Replaces the log's past by a snapshot of what was applied.
+    /// Replaces the applied entries of the log by a snapshot of the state.
     fn compact(&mut self) -> Result<()> {
         let index = self.core.applied();
         let log = self.core.log();
@@ -510,34 +529,38 @@
         Ok(())
     }
 
-    /// Tells the reactor whether what it is fed from here is current.
-    fn tell_fresh(&mut self) {
+    /// Tells the reactor whether the view from this control role is current.
+    fn send_fresh(&mut self) {
         let now = self.parts.clock.now();
         let fresh = self.core.is_fresh(now);
-        let due = fresh && now.since(self.fresh_at) >= FRESH_MS;
+        let due = fresh && now.since(self.fresh_at) >= FRESH_INTERVAL_MS;
         if due || fresh != self.fresh {
             self.fresh = fresh;
             self.fresh_at = now;
-            self.to_reactor(ReactorInput::Fresh(fresh));
+            self.send_to_reactor(ReactorInput::Fresh(fresh));
         }
     }
 
-    fn restored(&self) {
+    /// Sends the reactor the whole view.
+    fn send_view(&self) {
         let view = Box::new(self.store.view.clone());
-        self.to_reactor(ReactorInput::Restored(view));
+        self.send_to_reactor(ReactorInput::Restored(view));
     }
 
-    fn to_reactor(&self, input: ReactorInput) {
+    /// Sends an input to the reactor.
+    fn send_to_reactor(&self, input: ReactorInput) {
         // The reactor ends only together with this process.
         let _ = self.parts.reactor.send(input);
     }
 
+    /// Sends a VM the reply to its query.
     fn reply(&self, vm: &Name, id: u64, reply: Reply) {
-        // Whoever lost the link asks again.
+        // A VM whose link was lost repeats its query.
         self.parts.hub.send(vm, Message::Reply(id, reply));
     }
 
-    fn measure(&self) {
+    /// Updates the gauges of the replicated log.
+    fn update_metrics(&self) {
         let set = |what, number| {
             let gauge = self.parts.metrics.control.with_label_values(&[what]);
             gauge.set(gauge_value(number));
@@ -550,6 +573,7 @@
         set("claims", self.store.claims.len() as u64);
     }
 
+    /// State of the replicated log, for operators.
     fn status(&self) -> Status {
         let names = |members: &[Member]| members.iter().map(|m| m.place.vm.clone()).collect();
         let members = self.core.members();
@@ -568,14 +592,18 @@
     }
 }
 
-/// A record that can be sent to the other control VMs, or why it cannot.
-fn checked(record: Record) -> Result<Record, String> {
+/// Checks that a record is small enough to be sent to the other control VMs.
+fn check_size(record: Record) -> Result<Record, String> {
     if record.is_large() && !codec::fits(&record) {
-        return Err(format!("it has more than {} bytes", codec::RECORD_MAX));
+        return Err(format!(
+            "the record has more than {} bytes",
+            codec::RECORD_MAX
+        ));
     }
     Ok(record)
 }
 
+/// Decodes the state in a snapshot.
 fn restore(snapshot: &Snapshot) -> Result<Store> {
     if snapshot.bytes.is_empty() {
         return Ok(Store::default());
@@ -583,6 +611,6 @@
     codec::unpack(&snapshot.bytes).map_err(|_| Error::Corrupt {
         step: "read the state",
         path: "(snapshot)".to_owned(),
-        reason: "it was written by another version of this program".to_owned(),
+        reason: "the snapshot was written by another version of this program".to_owned(),
     })
 }
--- a/components/node/src/dissemination.rs
+++ b/components/node/src/dissemination.rs
@@ -1,4 +1,7 @@
-//! The feed: how this process learns the view, and whom it feeds in turn.
+//! Dissemination of the view: the parent that sends it to this process, and the children that
+//! this process sends it to.
+//!
+//! Processes form trees whose roots are the control VMs.
 
 use coordination::tree::{Confirm, Tree, Welcome};
 use protocol::wire::{Hello, Message};
@@ -9,84 +12,95 @@
 use std::collections::{BTreeMap, VecDeque};
 use transport::link::Hub;
 
-/// Time between two pulses of a root, in milliseconds.
-const PULSE_MS: u64 = 1000;
-/// Silence after which another parent is sought, in milliseconds.
-const QUIET_MS: u64 = 3000;
-/// Time for a parent to take this process in, in milliseconds.
-const JOIN_MS: u64 = 800;
-/// Time between two checks of how new the view is, in milliseconds.
+/// Time between two heartbeats (pulses) that a root sends down the tree, in milliseconds.
+const PULSE_INTERVAL_MS: u64 = 1000;
+/// Time without a pulse after which a process looks for another parent, in milliseconds.
+const PARENT_TIMEOUT_MS: u64 = 3000;
+/// Time for a candidate parent to accept this process, in milliseconds.
+const JOIN_TIMEOUT_MS: u64 = 800;
+/// Time between two checks of whether the view is the newest, in milliseconds.
 ///
-/// A proof is as old as this and the way of the check when it is at its oldest:
-/// well below what routers must refuse at.
-const CHECK_MS: u64 = 500;
-/// The same before the first answer, in milliseconds.
-const CHECK_FIRST_MS: u64 = 100;
-/// Time for which a node that was sent to a control VM of its own data centre is taken in when
-/// it comes back, in milliseconds: that one cannot feed it.
-const SENT_HOME_MS: u64 = 5000;
-/// Part of the number of routers by which it has to change to be told again.
-const SIZE_PART: u32 = 8;
-/// Steps kept for children that missed some.
-const HISTORY: usize = 256;
-
-/// Where this process stands in the tree.
+/// A proof is at most as old as this plus the round trip of the check, which is well below the
+/// age at which routers refuse requests.
+const CHECK_INTERVAL_MS: u64 = 500;
+/// Time between two checks until the first proof, in milliseconds.
+const FIRST_CHECK_INTERVAL_MS: u64 = 100;
+/// Time for which a node that was redirected to a control VM of its own data centre is accepted
+/// if it comes back, in milliseconds: that control VM evidently cannot serve it.
+const REDIRECT_MEMORY_MS: u64 = 5000;
+/// The number of routers is sent to children again when it has changed by more than one part in
+/// this many.
+const SIZE_CHANGE_PARTS: u32 = 8;
+/// Number of recent steps that are kept for children that have missed some.
+const HISTORY_STEPS: usize = 256;
+
+/// Position of this process in the tree.
 #[derive(Clone, Debug)]
-enum Stand {
-    /// It is fed by the control role of this process.
+enum Position {
+    /// The control role of this process supplies the view. `fresh` says whether it follows a live
+    /// leader, and `pulse_at` when the next pulse is due.
     Root { fresh: bool, pulse_at: Millis },
-    /// It seeks a parent.
+    /// The process has no parent. `asked` is the candidate that was asked last, at `since`.
     Seeking { asked: Option<Place>, since: Millis },
-    /// It has a parent.
+    /// A parent sends this process the view.
     Child { parent: Place },
 }
 
-/// The feed of one process.
+/// Dissemination state of one process.
 pub(crate) struct Dissemination {
+    /// Name of this VM.
     me: Name,
+    /// Control VMs where a parent is looked for first.
     seeds: Vec<Place>,
+    /// Index of the seed that is asked next, modulo their number.
     next_seed: usize,
-    stand: Stand,
+    position: Position,
+    /// Children, and what they have confirmed.
     tree: Tree,
-    /// Nodes that were sent to a control VM of their own data centre, and when.
-    sent_home: BTreeMap<Name, Millis>,
+    /// Nodes that were redirected to a control VM of their own data centre, and when.
+    redirected: BTreeMap<Name, Millis>,
+    /// Recent steps, oldest first.
     history: VecDeque<Step>,
-    /// Last sign of life that began at a root.
-    pulse: Option<Millis>,
+    /// When the last pulse arrived.
+    last_pulse_at: Option<Millis>,
     /// Latest time at which the view was proved to be the newest.
-    proof: Option<Millis>,
-    /// A proof that holds once the view has reached its version.
-    awaited: Option<(Millis, Version)>,
-    check_at: Millis,
+    verified_at: Option<Millis>,
+    /// A proof that takes effect once the view has reached its version.
+    pending_proof: Option<(Millis, Version)>,
+    /// When the next check, or on a root the next proof, is due.
+    next_check_at: Millis,
     /// Whether the parent has answered a check.
     is_checked: bool,
-    confirmed: Option<Confirm>,
+    /// Confirmation that the parent was last sent.
+    sent_confirm: Option<Confirm>,
+    /// Version of the view at the last tick.
     version: Version,
-    /// Routers below each other root, as it has told.
+    /// Number of routers below each other root, as last reported.
     subtrees: BTreeMap<Name, u32>,
-    /// Routers of the fleet, as a root counts them.
+    /// Number of routers of the fleet, as counted by a root.
     size: Option<u32>,
-    /// That number as children, and other roots, were last told theirs.
-    told_size: u32,
-    told_subtree: u32,
+    /// Number of routers that children were last sent.
+    sent_size: u32,
+    /// Number of routers below this root that the other roots were last sent.
+    sent_subtree: u32,
 }
 
 impl Dissemination {
-    /// A feed that has nothing yet. `root` is for control VMs.
+    /// Creates the state of a process without a view. `is_root` is true on control VMs.
     pub(crate) fn new(
         me: Name,
         seeds: Vec<Place>,
         first: usize,
         fanout: usize,
-        root: bool,
+        is_root: bool,
     ) -> Self {
-        let stand = if root {
-            Stand::Root {
+        let position = if is_root {
+            Position::Root {
                 fresh: false,
                 pulse_at: Millis(0),
             }
         } else {
-            Stand::Seeking {
+            Position::Seeking {
                 asked: None,
                 since: Millis(0),
             }
@@ -95,55 +109,56 @@
             me,
             seeds,
             next_seed: first,
-            stand,
+            position,
             tree: Tree::new(fanout),
-            sent_home: BTreeMap::new(),
+            redirected: BTreeMap::new(),
             history: VecDeque::new(),
-            pulse: None,
-            proof: None,
-            awaited: None,
-            check_at: Millis(0),
+            last_pulse_at: None,
+            verified_at: None,
+            pending_proof: None,
+            next_check_at: Millis(0),
             is_checked: false,
-            confirmed: None,
+            sent_confirm: None,
             version: Version(0),
             subtrees: BTreeMap::new(),
             size: None,
-            told_size: 0,
-            told_subtree: 0,
+            sent_size: 0,
+            sent_subtree: 0,
         }
     }
 
-    /// Routers of the fleet, once a root has counted them.
-    pub(crate) fn size(&self) -> Option<u32> {
+    /// Number of routers of the fleet, once a root has counted them.
+    pub(crate) fn routers(&self) -> Option<u32> {
         self.size
     }
 
-    /// Takes how many routers another root feeds, directly or not.
-    pub(crate) fn take_subtree(&mut self, vm: &Name, routers: u32) {
+    /// Handles the number of routers below another root.
+    pub(crate) fn handle_subtree(&mut self, vm: &Name, routers: u32) {
         self.subtrees.insert(vm.clone(), routers);
     }
 
-    /// Takes how many routers there are, and tells its children.
-    pub(crate) fn take_size(&mut self, hub: &Hub, routers: u32) {
+    /// Handles the number of routers of the fleet, and passes it on to children.
+    pub(crate) fn handle_size(&mut self, hub: &Hub, routers: u32) {
         if !self.is_root() {
             self.set_size(hub, routers);
         }
     }
 
-    /// Children hear of a change by more than an eighth alone: what rests on the number needs
-    /// no more, and each router that comes or goes would be told to all others.
+    /// Sets the number of routers, and sends it to children if it has changed by more than an
+    /// eighth. What depends on it needs no more precision, and otherwise each router that joins or
+    /// leaves would cause a message to every other one.
     fn set_size(&mut self, hub: &Hub, routers: u32) {
         self.size = Some(routers);
-        if routers.abs_diff(self.told_size) * SIZE_PART <= self.told_size {
+        if routers.abs_diff(self.sent_size) * SIZE_CHANGE_PARTS <= self.sent_size {
             return;
         }
-        self.told_size = routers;
+        self.sent_size = routers;
         for child in self.tree.children() {
             hub.send(child, Message::Size(routers));
         }
     }
 
-    /// Counts the routers of the fleet, at a root among others.
+    /// On a root, counts the routers of the fleet and reports its own part to the other roots.
     pub(crate) fn count_routers(&mut self, hub: &Hub, roots: &[Place]) {
         if !self.is_root() {
             return;
@@ -153,21 +168,21 @@
             .retain(|vm, _| roots.iter().any(|p| p.vm == *vm));
         let own = self.tree.total(None).routers;
         let sum = own + self.subtrees.values().sum::<u32>();
-        if own != self.told_subtree {
+        if own != self.sent_subtree {
             for root in others() {
                 hub.send(&root.vm, Message::Subtree(own));
             }
-            self.told_subtree = own;
+            self.sent_subtree = own;
         }
         self.set_size(hub, sum.max(1));
     }
 
     /// Latest time at which the view was proved to be the newest.
-    pub(crate) fn proof(&self) -> Option<Millis> {
-        self.proof
+    pub(crate) fn verified_at(&self) -> Option<Millis> {
+        self.verified_at
     }
 
-    /// Changes the places where a parent is sought first.
+    /// Replaces the control VMs where a parent is looked for first.
     pub(crate) fn set_seeds(&mut self, seeds: Vec<Place>) {
         self.seeds = seeds;
     }
@@ -177,91 +192,97 @@
         self.is_checked
     }
 
-    /// Whether it is time to ask for a new proof.
-    pub(crate) fn wants_proof(&mut self, now: Millis) -> bool {
-        let due = now >= self.check_at;
+    /// Whether a new proof is due; if so, schedules the next one.
+    pub(crate) fn take_proof_due(&mut self, now: Millis) -> bool {
+        let due = now >= self.next_check_at;
         if due {
-            self.check_at = now.after(CHECK_MS);
+            self.next_check_at = now.after(CHECK_INTERVAL_MS);
         }
         due
     }
 
     /// Whether this is a root of the tree.
     pub(crate) fn is_root(&self) -> bool {
-        matches!(self.stand, Stand::Root { .. })
+        matches!(self.position, Position::Root { .. })
     }
 
-    /// Takes a proof: `head` was the newest version at some time after `at`.
+    /// Records a proof: `head` was the newest version at some time after `at`.
     ///
-    /// The time counts from when this process asked, on its own clock. What comes
-    /// by itself proves nothing: a process that was suspended would find old news
-    /// waiting for it, and take them for new.
-    pub(crate) fn prove(&mut self, at: Millis, head: Version, version: Version) {
+    /// `at` is when this process sent its question, on its own clock. Unsolicited messages prove
+    /// nothing: a process that was suspended would find old ones queued and take them for new.
+    pub(crate) fn record_proof(&mut self, at: Millis, head: Version, version: Version) {
         if version >= head {
-            self.proof = self.proof.max(Some(at));
-        } else if self.awaited.is_none_or(|(earlier, _)| earlier <= at) {
-            self.awaited = Some((at, head));
+            self.verified_at = self.verified_at.max(Some(at));
+        } else if self.pending_proof.is_none_or(|(earlier, _)| earlier <= at) {
+            self.pending_proof = Some((at, head));
         }
     }
 
-    /// Takes the parent's answer to a check.
-    pub(crate) fn checked(&mut self, from: &Name, at: Millis, head: Version, version: Version) {
+    /// Handles the parent's answer to a check.
+    pub(crate) fn handle_checked(
+        &mut self,
+        from: &Name,
+        at: Millis,
+        head: Version,
+        version: Version,
+    ) {
         if self.parent() == Some(from) {
             self.is_checked = true;
-            self.prove(at, head, version);
+            self.record_proof(at, head, version);
         }
     }
 
-    /// Notes that a version came into force.
-    pub(crate) fn reached(&mut self, version: Version) {
-        if let Some((at, _)) = self.awaited.take_if(|(_, head)| version >= *head) {
-            self.proof = self.proof.max(Some(at));
+    /// Records that a version came into force, which may complete a pending proof.
+    pub(crate) fn on_new_version(&mut self, version: Version) {
+        if let Some((at, _)) = self.pending_proof.take_if(|(_, head)| version >= *head) {
+            self.verified_at = self.verified_at.max(Some(at));
         }
     }
 
-    /// The node that feeds this one.
+    /// The node that sends this one the view.
     pub(crate) fn parent(&self) -> Option<&Name> {
-        match &self.stand {
-            Stand::Child { parent } => Some(&parent.vm),
+        match &self.position {
+            Position::Child { parent } => Some(&parent.vm),
             _ => None,
         }
     }
 
-    /// What this process and all below it have confirmed.
+    /// Versions confirmed by this process and all nodes below it.
     pub(crate) fn total(&self, version: Version) -> Confirm {
         self.tree.total(Some((&self.me, version)))
     }
 
-    /// Notes whether the control role here follows a living leader. When it
-    /// does not, children are sent away: they would be fed nothing new.
-    pub(crate) fn fresh(&mut self, now: Millis, hub: &Hub, is: bool) {
-        let Stand::Root { fresh, .. } = &mut self.stand else {
+    /// Records whether the control role here follows a live leader. If it does not, children are
+    /// redirected, because they would receive nothing new from here.
+    pub(crate) fn set_fresh(&mut self, now: Millis, hub: &Hub, is_fresh: bool) {
+        let Position::Root { fresh, .. } = &mut self.position else {
             return;
         };
-        *fresh = is;
-        if is {
-            self.pulse = Some(now);
+        *fresh = is_fresh;
+        if is_fresh {
+            self.last_pulse_at = Some(now);
             return;
         }
         let children: Vec<Name> = self.tree.children().cloned().collect();
         for child in children {
-            self.send_away(hub, &child);
+            self.redirect(hub, &child);
             self.tree.lost(&child);
         }
     }
 
-    /// Takes steps; gives the versions that came into force.
-    pub(crate) fn steps(
+    /// Applies steps to the view and passes them on to children. Returns whether any of them was
+    /// new.
+    pub(crate) fn apply_steps(
         &mut self,
         view: &mut View,
         hub: &Hub,
         from: Option<&Name>,
         steps: &[Step],
     ) -> bool {
-        let mut news: SmallVec<[Step; 1]> = SmallVec::new();
+        let mut applied: SmallVec<[Step; 1]> = SmallVec::new();
         for step in steps {
             match view.take(step) {
-                Taken::InForce => news.push(step.clone()),
+                Taken::InForce => applied.push(step.clone()),
                 Taken::Old => {}
                 Taken::Gap => {
                     if let Some(vm) = from {
@@ -271,21 +292,21 @@
                 }
             }
         }
-        if news.is_empty() {
+        if applied.is_empty() {
             return false;
         }
-        self.history.extend(news.iter().cloned());
-        while self.history.len() > HISTORY {
+        self.history.extend(applied.iter().cloned());
+        while self.history.len() > HISTORY_STEPS {
             self.history.pop_front();
         }
         for child in self.tree.children() {
-            hub.send(child, Message::Steps(news.clone()));
+            hub.send(child, Message::Steps(applied.clone()));
         }
         true
     }
 
-    /// Takes a whole view; true if it was newer.
-    pub(crate) fn whole(&mut self, view: &mut View, hub: &Hub, whole: View) -> bool {
+    /// Replaces the view and passes the new one on to children. Returns whether it was newer.
+    pub(crate) fn replace_view(&mut self, view: &mut View, hub: &Hub, whole: View) -> bool {
         if !view.replace(whole) {
             return false;
         }
@@ -296,8 +317,8 @@
         true
     }
 
-    /// Takes a pulse from the parent, and passes it on.
-    pub(crate) fn pulsed(
+    /// Handles a pulse from the parent, and passes it on to children.
+    pub(crate) fn handle_pulse(
         &mut self,
         now: Millis,
         hub: &Hub,
@@ -306,20 +327,21 @@
         head: Version,
     ) {
         if self.parent() != Some(from) {
-            self.leave(hub, from);
+            self.unsubscribe(hub, from);
             return;
         }
         if view.version < head {
             hub.send(from, Message::Subscribe(view.version));
         }
-        self.pulse = Some(now);
+        self.last_pulse_at = Some(now);
         for child in self.tree.children() {
             hub.send(child, Message::Pulse(head));
         }
     }
 
-    /// Takes a node that wants to be fed; true if it is a new child.
-    pub(crate) fn subscribe(
+    /// Handles the request of a node to become a child: accepts or redirects it, and sends what
+    /// its view lacks. Returns whether it is a new child.
+    pub(crate) fn handle_subscribe(
         &mut self,
         now: Millis,
         hub: &Hub,
@@ -330,13 +352,13 @@
         let Hello {
             place, data_centre, ..
         } = peer;
-        if matches!(self.stand, Stand::Root { fresh: false, .. }) {
-            self.send_away(hub, &place.vm);
+        if matches!(self.position, Position::Root { fresh: false, .. }) {
+            self.redirect(hub, &place.vm);
             return false;
         }
         let vm = place.vm.clone();
-        let was_child = self.feeds(&vm);
-        if let Some(nearer) = self.nearer(now, hub, &vm, &data_centre) {
+        let was_child = self.has_child(&vm);
+        if let Some(nearer) = self.nearer_root(now, hub, &vm, &data_centre) {
             hub.send(&vm, Message::Elsewhere(nearer));
             return false;
         }
@@ -345,10 +367,10 @@
             return false;
         }
         let first = self.history.front().map(|s| s.version.0);
-        let reach = first.is_some_and(|first| first <= version.0 + 1);
+        let is_in_history = first.is_some_and(|first| first <= version.0 + 1);
         let message = if version >= view.version {
             Message::Pulse(view.version)
-        } else if reach {
+        } else if is_in_history {
             let missed = self.history.iter().filter(|s| s.version > version);
             Message::Steps(missed.cloned().collect())
         } else {
@@ -361,186 +383,200 @@
         !was_child
     }
 
-    /// A control VM in the data centre of a node that wants to be fed by this one, which is
-    /// elsewhere; `None` for one that was sent there a moment ago.
-    fn nearer(&mut self, now: Millis, hub: &Hub, vm: &Name, data_centre: &Name) -> Option<Place> {
+    /// Finds a control VM in the data centre of a node that asks this root, which is in another
+    /// one, to become its parent. `None` if the node was redirected recently.
+    fn nearer_root(
+        &mut self,
+        now: Millis,
+        hub: &Hub,
+        vm: &Name,
+        data_centre: &Name,
+    ) -> Option<Place> {
         let is_far = self.is_root() && hub.hello().data_centre != *data_centre;
-        if !is_far || self.feeds(vm) {
+        if !is_far || self.has_child(vm) {
             return None;
         }
-        self.sent_home.retain(|_, at| now.since(*at) < SENT_HOME_MS);
-        if self.sent_home.contains_key(vm) {
+        self.redirected
+            .retain(|_, at| now.since(*at) < REDIRECT_MEMORY_MS);
+        if self.redirected.contains_key(vm) {
             return None;
         }
         let peers = hub.peers();
         let is_near = |p: &&Hello| p.data_centre == *data_centre && p.place.vm != *vm;
         let mut near = peers.iter().filter(is_near);
         let control = near.find(|p| self.seeds.iter().any(|s| s.vm == p.place.vm))?;
-        self.sent_home.insert(vm.clone(), now);
+        self.redirected.insert(vm.clone(), now);
         Some(control.place.clone())
     }
 
-    /// Tells a node that goes on feeding this one that another does so.
+    /// Unsubscribes from a node that is not the parent but still sends the view.
     ///
-    /// A link outlives a change of parent where something else needs it, and the
-    /// former parent would count this process for ever, at the version at which it
-    /// left. One would see more routers confirmed than there are, and a version that
-    /// is in force everywhere never confirmed. Each pulse is answered, so that one
-    /// lost answer does not matter.
-    fn leave(&self, hub: &Hub, from: &Name) {
+    /// The link to a former parent may stay open for other reasons. The former parent would then
+    /// count this process forever, at the version at which it left: more routers would be
+    /// confirmed than exist, and a version that is in force everywhere would never be confirmed.
+    /// Every pulse is answered, so a lost answer does no harm.
+    fn unsubscribe(&self, hub: &Hub, from: &Name) {
         if !self.is_root() {
             hub.send(from, Message::Unsubscribe);
         }
     }
 
-    /// Forgets a child that another node feeds.
-    pub(crate) fn unsubscribe(&mut self, vm: &Name) {
+    /// Removes a child that has found another parent.
+    pub(crate) fn handle_unsubscribe(&mut self, vm: &Name) {
         self.tree.lost(vm);
     }
 
-    /// Takes a child's confirmation.
-    pub(crate) fn confirm(&mut self, vm: &Name, confirm: Confirm) {
+    /// Handles a child's confirmation.
+    pub(crate) fn handle_confirm(&mut self, vm: &Name, confirm: Confirm) {
         self.tree.confirm(vm, confirm);
     }
 
-    /// Is told to ask another node.
-    pub(crate) fn elsewhere(&mut self, now: Millis, hub: &Hub, from: &Name, place: Place) {
-        let asked = match &self.stand {
-            Stand::Root { .. } => return,
-            Stand::Seeking { asked, .. } => asked.as_ref(),
-            Stand::Child { parent } => Some(parent),
+    /// Handles a redirection to another node by the parent or the candidate that was asked.
+    pub(crate) fn handle_redirect(&mut self, now: Millis, hub: &Hub, from: &Name, place: Place) {
+        let asked = match &self.position {
+            Position::Root { .. } => return,
+            Position::Seeking { asked, .. } => asked.as_ref(),
+            Position::Child { parent } => Some(parent),
         };
         if asked.is_none_or(|p| p.vm != *from) || place.vm == self.me {
             return;
         }
-        self.seek(now, hub, place);
+        self.ask_parent(now, hub, place);
     }
 
-    /// Notes that a link came up.
+    /// Handles a new link: subscribes if it leads to the parent or to the candidate.
     pub(crate) fn link_up(&mut self, hub: &Hub, vm: &Name, version: Version) {
-        let asked = match &self.stand {
-            Stand::Seeking { asked, .. } => asked.as_ref(),
-            Stand::Child { parent } => Some(parent),
-            Stand::Root { .. } => None,
+        let asked = match &self.position {
+            Position::Seeking { asked, .. } => asked.as_ref(),
+            Position::Child { parent } => Some(parent),
+            Position::Root { .. } => None,
         };
         if asked.is_some_and(|p| p.vm == *vm) {
             hub.send(vm, Message::Subscribe(version));
         }
     }
 
-    /// Notes that a link was lost.
+    /// Handles a lost link to a child or to the parent.
     pub(crate) fn link_down(&mut self, now: Millis, vm: &Name) {
         self.tree.lost(vm);
-        if matches!(&self.stand, Stand::Child { parent } if parent.vm == *vm) {
-            self.stand = Stand::Seeking {
+        if matches!(&self.position, Position::Child { parent } if parent.vm == *vm) {
+            self.position = Position::Seeking {
                 asked: None,
                 since: now,
             };
         }
     }
 
-    /// Notes that a node feeds this one.
-    pub(crate) fn fed(&mut self, now: Millis, from: &Name) {
-        let Stand::Seeking { asked, .. } = &self.stand else {
+    /// Records that a node has sent the view: if it is the candidate, it becomes the parent.
+    pub(crate) fn mark_received(&mut self, now: Millis, from: &Name) {
+        let Position::Seeking { asked, .. } = &self.position else {
             return;
         };
         if let Some(place) = asked.clone().filter(|p| p.vm == *from) {
-            self.pulse = self.pulse.or(Some(now));
-            self.stand = Stand::Child { parent: place };
+            self.last_pulse_at = self.last_pulse_at.or(Some(now));
+            self.position = Position::Child { parent: place };
             self.is_checked = false;
-            self.confirmed = None;
+            self.sent_confirm = None;
         }
     }
 
-    /// Lets time pass.
+    /// Sends pulses, checks and confirmations that are due, and looks for another parent after a
+    /// timeout.
     pub(crate) fn tick(&mut self, now: Millis, hub: &Hub, version: Version) {
         self.version = version;
-        match &mut self.stand {
-            Stand::Root { fresh, pulse_at } => {
+        match &mut self.position {
+            Position::Root { fresh, pulse_at } => {
                 if *fresh && now >= *pulse_at {
-                    *pulse_at = now.after(PULSE_MS);
+                    *pulse_at = now.after(PULSE_INTERVAL_MS);
                     for child in self.tree.children() {
                         hub.send(child, Message::Pulse(version));
                     }
                 }
             }
-            Stand::Seeking { asked, since } => {
-                if asked.is_none() || now.since(*since) > JOIN_MS {
-                    self.seek_seed(now, hub);
+            Position::Seeking { asked, since } => {
+                if asked.is_none() || now.since(*since) > JOIN_TIMEOUT_MS {
+                    self.ask_next_seed(now, hub);
                 }
             }
-            Stand::Child { parent } => {
-                if now >= self.check_at {
-                    let pause_ms = match self.proof {
-                        Some(_) => CHECK_MS,
-                        None => CHECK_FIRST_MS,
+            Position::Child { parent } => {
+                if now >= self.next_check_at {
+                    let pause_ms = match self.verified_at {
+                        Some(_) => CHECK_INTERVAL_MS,
+                        None => FIRST_CHECK_INTERVAL_MS,
                     };
-                    self.check_at = now.after(pause_ms);
+                    self.next_check_at = now.after(pause_ms);
                     hub.send(&parent.vm, Message::Check(now.0));
                 }
-                // A parent that is cut off with us, or that we are above of in a
-                // ring, passes on no pulse; only a root can begin one.
-                if self.pulse.is_none_or(|at| now.since(at) > QUIET_MS) {
-                    self.pulse = Some(now);
-                    self.seek_seed(now, hub);
+                // Pulses originate at roots alone. A parent that is partitioned together
+                // with this process, or that is its descendant in a cycle, forwards none.
+                if self
+                    .last_pulse_at
+                    .is_none_or(|at| now.since(at) > PARENT_TIMEOUT_MS)
+                {
+                    self.last_pulse_at = Some(now);
+                    self.ask_next_seed(now, hub);
                 }
             }
         }
-        self.tell_parent(hub, version);
+        self.confirm_to_parent(hub, version);
     }
 
-    /// Nodes that this one feeds.
+    /// Nodes that this one sends the view to.
     pub(crate) fn children(&self) -> impl Iterator<Item = &Name> {
         self.tree.children()
     }
 
-    /// Whether this node feeds a VM.
-    pub(crate) fn feeds(&self, vm: &Name) -> bool {
+    /// Whether a VM is a child of this node.
+    pub(crate) fn has_child(&self, vm: &Name) -> bool {
         self.tree.children().any(|child| child == vm)
     }
 
-    /// Whether a VM's link is kept for the feed.
+    /// Whether the link to a VM is needed because it is the parent or a candidate.
     pub(crate) fn needs(&self, vm: &Name) -> bool {
-        match &self.stand {
-            Stand::Seeking { asked, .. } => asked.as_ref().is_some_and(|p| p.vm == *vm),
-            Stand::Child { parent } => parent.vm == *vm,
-            Stand::Root { .. } => false,
+        match &self.position {
+            Position::Seeking { asked, .. } => asked.as_ref().is_some_and(|p| p.vm == *vm),
+            Position::Child { parent } => parent.vm == *vm,
+            Position::Root { .. } => false,
         }
     }
 
-    fn tell_parent(&mut self, hub: &Hub, version: Version) {
-        let Stand::Child { parent } = &self.stand else {
+    /// Sends the parent the confirmed versions if they have changed.
+    fn confirm_to_parent(&mut self, hub: &Hub, version: Version) {
+        let Position::Child { parent } = &self.position else {
             return;
         };
         let total = self.total(version);
-        if self.confirmed.as_ref() != Some(&total) {
+        if self.sent_confirm.as_ref() != Some(&total) {
             hub.send(&parent.vm, Message::Confirm(total.clone()));
-            self.confirmed = Some(total);
+            self.sent_confirm = Some(total);
         }
     }
 
-    fn seek_seed(&mut self, now: Millis, hub: &Hub) {
+    /// Asks the next seed to become the parent.
+    fn ask_next_seed(&mut self, now: Millis, hub: &Hub) {
         let others: Vec<&Place> = self.seeds.iter().filter(|s| s.vm != self.me).collect();
         if others.is_empty() {
             return;
         }
         let place = others[self.next_seed % others.len()].clone();
         self.next_seed += 1;
-        self.seek(now, hub, place);
+        self.ask_parent(now, hub, place);
     }
 
-    fn seek(&mut self, now: Millis, hub: &Hub, place: Place) {
+    /// Asks a node to become the parent.
+    fn ask_parent(&mut self, now: Millis, hub: &Hub, place: Place) {
         hub.dial(&place);
         if hub.is_up(&place.vm) {
             hub.send(&place.vm, Message::Subscribe(self.version));
         }
-        self.stand = Stand::Seeking {
+        self.position = Position::Seeking {
             asked: Some(place),
             since: now,
         };
     }
 
-    fn send_away(&mut self, hub: &Hub, vm: &Name) {
+    /// Redirects a node to another one.
+    fn redirect(&mut self, hub: &Hub, vm: &Name) {
         if let Some(other) = self.tree.send_away(&self.seeds, &self.me, vm) {
             hub.send(vm, Message::Elsewhere(other));
         }
--- a/components/node/src/evacuation.rs
+++ b/components/node/src/evacuation.rs
@@ -1,4 +1,4 @@
-//! Operators' orders to evacuate a data centre.
+//! Orders of operators to evacuate a data centre or to end its evacuation.
 
 use crate::input::Input;
 use crate::shared::Published;
@@ -11,22 +11,22 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
 
-/// Longest time for an order to be accepted. An election takes up to 1.4 s; an operator who
-/// hears nothing for longer is told to ask again.
-const ACCEPT: Duration = Duration::from_millis(2500);
+/// Time for an order to be accepted, after which the operator is told to repeat it. An election
+/// of a leader takes up to 1.4 s.
+const ACCEPT_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// What became of an order.
+/// Result of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// It is in force at this version.
+    /// The order is in force as of this version.
     Accepted(Version),
-    /// It names no data centre of the fleet; nothing was changed.
+    /// The order names no data centre of the fleet; nothing was changed. Holds the reason.
     Unknown(String),
-    /// Whether it was accepted is not known.
-    Unsure,
+    /// It is not known whether the order was accepted.
+    Unconfirmed,
 }
 
-/// Gives orders to the control VMs.
+/// Sends orders to the control VMs.
 pub(crate) struct Orders {
     reactor: flume::Sender<Input>,
     published: watch::Receiver<Published>,
@@ -35,7 +35,8 @@
 }
 
 impl Orders {
-    /// Orders for the data centres that the settings name, and those that have endpoints.
+    /// Creates a sender of orders. Valid data centres are those in `named` and those that have
+    /// endpoints or an evacuation.
     pub(crate) fn new(
         reactor: flume::Sender<Input>,
         published: watch::Receiver<Published>,
@@ -48,18 +49,20 @@
         }
     }
 
-    /// Evacuates a data centre, or ends that.
-    pub(crate) async fn give(&self, data_centre: &str, is_evacuated: bool) -> Outcome {
+    /// Evacuates a data centre, or ends its evacuation.
+    pub(crate) async fn send(&self, data_centre: &str, is_evacuated: bool) -> Outcome {
         let known = Name::try_from(data_centre);
-        let Some(data_centre) = known.ok().filter(|name| self.knows(name)) else {
+        let Some(data_centre) = known.ok().filter(|name| self.is_known(name)) else {
             return Outcome::Unknown(format!("there is no data centre {data_centre:?}"));
         };
-        let order = tokio::time::timeout(ACCEPT, self.fenced(data_centre, is_evacuated));
-        order.await.ok().flatten().unwrap_or(Outcome::Unsure)
+        let order =
+            tokio::time::timeout(ACCEPT_TIMEOUT, self.send_fenced(data_centre, is_evacuated));
+        order.await.ok().flatten().unwrap_or(Outcome::Unconfirmed)
     }
 
-    /// Gives an order that holds unless a later one has come meanwhile.
-    async fn fenced(&self, data_centre: Name, is_evacuated: bool) -> Option<Outcome> {
+    /// Sends an order that is based on the current version, so that it cannot override a later
+    /// one.
+    async fn send_fenced(&self, data_centre: Name, is_evacuated: bool) -> Option<Outcome> {
         let Reply::Head(base) = self.ask(Query::Head).await? else {
             return None;
         };
@@ -74,13 +77,15 @@
         }
     }
 
+    /// Sends a query to the control VMs and waits for the reply.
     async fn ask(&self, query: Query) -> Option<Reply> {
         let (sender, receiver) = oneshot::channel();
         self.reactor.send(Input::Query(query, sender)).ok()?;
         receiver.await.ok()
     }
 
-    fn knows(&self, data_centre: &Name) -> bool {
+    /// Whether the data centre is named in the settings, has endpoints or is evacuated.
+    fn is_known(&self, data_centre: &Name) -> bool {
         let view = &self.published.borrow().view;
         self.named.contains(data_centre)
             || view.evacuations.contains_key(data_centre)
--- a/components/node/src/fetch.rs
+++ b/components/node/src/fetch.rs
@@ -1,4 +1,4 @@
-//! Reads a page from an endpoint or the platform.
+//! Fetches a page from an endpoint or the platform over HTTP.
 
 use bytes::Bytes;
 use errors::{Error, Result};
@@ -8,7 +8,11 @@
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// Reads a page of at most `max` bytes, whole or not at all.
+/// Fetches a page of at most `max` bytes, on a connection of its own.
+///
+/// # Errors
+///
+/// If the peer cannot be reached, answers with a status other than 200, or the page is longer.
 pub(crate) async fn fetch(peer: SocketAddr, path: &str, max: usize) -> Result<Bytes> {
     let step = "read a page";
     let stream = TcpStream::connect(peer)
@@ -29,7 +33,9 @@
             .map_err(Error::peer(step, peer))?;
         let status = response.status();
         if status != StatusCode::OK {
-            return Err(Error::peer(step, peer)(format!("it answered {status}")));
+            return Err(Error::peer(step, peer)(format!(
+                "unexpected status {status}"
+            )));
         }
         let body = Limited::new(response.into_body(), max).collect();
         body.await
--- a/components/node/src/http.rs
+++ b/components/node/src/http.rs
@@ -1,4 +1,4 @@
-//! Serves small requests on an address of its own.
+//! HTTP server for small requests, such as those of operators.
 
 use crate::shared::cancelled;
 use bytes::Bytes;
@@ -16,15 +16,14 @@
 use tokio::sync::{watch, Semaphore};
 use tokio::task::JoinSet;
 
-/// Connections at once; past them one is closed without an answer.
-const CONNECTIONS: usize = 256;
-/// Time for a head to arrive; an idle connection is closed after it as well.
-const HEAD: Duration = Duration::from_secs(20);
-
-/// Pause after a connection could not be accepted: descriptors may be short.
+/// Largest number of open connections; further ones are closed without an answer.
+const CONNECTIONS_MAX: usize = 256;
+/// Time for the head of a request to arrive. Idle connections are closed after it too.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(20);
+/// Pause after a connection could not be accepted: the process may have no free descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Accepts the next connection.
+/// Accepts the next connection, and retries after errors.
 pub(crate) async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
@@ -37,14 +36,14 @@
     }
 }
 
-/// Serves `answer` until told to stop; then lets answers end.
+/// Serves requests with `answer` until `stop` is set, and then completes those in progress.
 pub(crate) async fn serve<F, A>(listener: TcpListener, answer: F, mut stop: watch::Receiver<bool>)
 where
     F: Fn(Request<Incoming>) -> A + Send + Sync + 'static,
     A: Future<Output = Response<Full<Bytes>>> + Send + 'static,
 {
     let answer = Arc::new(answer);
-    let places = Arc::new(Semaphore::new(CONNECTIONS));
+    let permits = Arc::new(Semaphore::new(CONNECTIONS_MAX));
     let mut tasks = JoinSet::new();
     loop {
         let stream = tokio::select! {
@@ -52,19 +51,19 @@
             Some(_) = tasks.join_next() => continue,
             () = cancelled(&mut stop) => break,
         };
-        let Ok(place) = places.clone().try_acquire_owned() else {
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
             continue;
         };
         let (answer, mut stop) = (answer.clone(), stop.clone());
         tasks.spawn(async move {
-            let _place = place;
+            let _permit = permit;
             let service = service_fn(move |request| {
                 let answer = answer(request);
                 async move { Ok::<_, Infallible>(answer.await) }
             });
             let connection = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(HEAD)
+                .header_read_timeout(HEAD_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
             tokio::pin!(connection);
             let ended = tokio::select! {
--- a/components/node/src/input.rs
+++ b/components/node/src/input.rs
@@ -1,4 +1,4 @@
-//! What the reactor is told.
+//! Inputs of the reactor.
 
 use crate::interface::Contents;
 use crate::shared::Status;
@@ -15,54 +15,54 @@
 use tokio::sync::oneshot;
 use transport::link;
 
-/// Where to send a request.
+/// The endpoint that a request is sent to.
 #[derive(Clone, Debug)]
 pub(crate) struct Dispatch {
-    /// Endpoint.
+    /// ID of the endpoint.
     pub(crate) endpoint: EndpointId,
-    /// Its name.
+    /// Name of the endpoint.
     pub(crate) name: Name,
-    /// Its address.
+    /// Address of the endpoint.
     pub(crate) address: SocketAddr,
-    /// Engine that has kept more of the prompt, to copy it from.
+    /// Engine that has more of the prompt in its cache, to copy it from.
     pub(crate) copy_from: Option<SocketAddr>,
-    /// What decided.
+    /// Why this endpoint was chosen.
     pub(crate) placement: Placement,
 }
 
-/// What becomes of a waiting request.
+/// Decision about a waiting request.
 #[derive(Clone, Debug)]
 pub(crate) enum Decision {
-    /// Send it.
+    /// Send the request to this endpoint.
     Dispatch(Dispatch),
-    /// It cannot be served in time.
+    /// The request cannot be served in time.
     Refused(Refusal),
-    /// No endpoint takes work for it.
+    /// No endpoint accepts the request.
     NoEndpoint,
-    /// Its deadline has passed.
+    /// The request's deadline has passed.
     Expired,
 }
 
-/// Receiver of a decision.
+/// Receiver of the decision about a request.
 pub(crate) type Decided = oneshot::Receiver<Decision>;
 
-/// What was read of the platform's list.
+/// Result of one read of the platform's list.
 #[derive(Clone, Debug)]
 pub(crate) struct Reading {
-    /// When it began.
+    /// When the read began.
     pub(crate) began: Millis,
-    /// The entries.
+    /// Entries that could be read.
     pub(crate) endpoints: Vec<Listed>,
-    /// Whether it has all pages.
+    /// Whether all pages could be read.
     pub(crate) is_whole: bool,
 }
 
-/// An endpoint whose load this VM asks for.
+/// An endpoint that is polled for its load report.
 #[derive(Clone, Debug)]
 pub(crate) struct Watched {
-    /// Endpoint.
+    /// ID of the endpoint.
     pub(crate) endpoint: EndpointId,
-    /// Its address.
+    /// Address of the endpoint.
     pub(crate) address: SocketAddr,
     /// Path of its load report.
     pub(crate) path: String,
@@ -70,58 +70,58 @@
 
 /// An input of the reactor.
 pub(crate) enum Input {
-    /// Something happened on the links.
+    /// An event of the links.
     Link(link::Event),
-    /// A request arrives.
+    /// A request arrives. The reply is its handle and the receiver of its decision.
     Arrive(Arrival, oneshot::Sender<Result<(Handle, Decided), Full>>),
-    /// A waiting request's caller has gone.
+    /// The caller of a waiting request has disconnected.
     Cancel(Handle),
-    /// A request failed and is to be queued again.
+    /// An attempt has failed and the request is queued again.
     Requeue(Handle, Verdict, oneshot::Sender<Decided>),
-    /// The first byte of an answer has come, this many milliseconds after its dispatch;
-    /// `None` if tasks ran late meanwhile.
+    /// The first byte of an answer has arrived, this many milliseconds after the dispatch. `None`
+    /// if tasks ran late meanwhile, so that the time says little about the endpoint.
     FirstByte(Handle, Option<u32>),
-    /// A request has cost this much so far.
+    /// Cost of a running request so far.
     Progress(Handle, u32),
-    /// A request has ended.
+    /// A request has ended with this cost.
     Done(Handle, u32, Verdict),
-    /// An endpoint has said in its answer to a request that it wants no more of them.
+    /// An endpoint has announced in an answer that it wants no more requests for a time or at all.
     Backoff(Handle, Backoff),
-    /// An endpoint broke off a request.
+    /// An endpoint closed its connection during a request.
     Crashed(Crash),
-    /// An endpoint has answered a suspected request whole.
+    /// An endpoint has answered a suspected request completely.
     Cleared(Clearance),
-    /// Something for the control VMs.
+    /// A query to the control VMs.
     Query(Query, oneshot::Sender<Reply>),
     /// An endpoint reported its load.
     Load(EndpointId, u32),
-    /// Steps that the control role of this process saw accepted.
+    /// The control role of this process has applied these steps.
     Applied(Vec<Step>),
-    /// A view that the control role of this process was given whole.
+    /// The control role of this process has restored this view from a snapshot.
     Restored(Box<View>),
-    /// Whether the control role of this process follows a living leader.
+    /// Whether the control role of this process follows a live leader.
     Fresh(bool),
-    /// Whether the control role of this process leads.
-    Leads(bool),
-    /// The control VMs, voting or not, as the control role of this process knows
-    /// them.
+    /// Whether the control role of this process is the leader.
+    Leadership(bool),
+    /// Members of the replicated log, voting or not, from the control role of this process.
     Members(Vec<Place>),
-    /// The settings name other control VMs.
+    /// The control VMs in the settings have changed.
     Seeds(Vec<Place>),
-    /// Is this process to read the platform's list of endpoints now? Answered with the time.
+    /// Asks whether this process should read the platform's list of endpoints now. If so, the
+    /// reply is the current time.
     ListingDue(oneshot::Sender<Option<Millis>>),
-    /// What it has read.
+    /// Result of such a read.
     ListingRead(Reading),
-    /// What an engine has kept; nothing if it did not tell.
+    /// Contents of an engine's prompt cache; empty if it did not answer.
     Inventory(EndpointId, Contents),
-    /// Which endpoints are scheduled here, and where do they report their load?
+    /// Asks for the endpoints that are scheduled here and have a load report.
     Watched(oneshot::Sender<Vec<Watched>>),
-    /// What is the state?
+    /// Asks for the state of this process.
     Status(oneshot::Sender<Status>),
-    /// Stop: callers are to go elsewhere.
+    /// Starts a stop: readiness fails, so that callers use other routers.
     Stop,
-    /// Take no more requests.
+    /// Refuses new requests from now on.
     Close,
-    /// End.
+    /// Ends the reactor.
     End,
 }
--- a/components/node/src/interface.rs
+++ b/components/node/src/interface.rs
@@ -1,6 +1,6 @@
-//! How callers, endpoints, operators and the platform speak.
+//! The HTTP dialect of callers, endpoints, operators and the platform.
 //!
-//! The node decides by what these functions read and give; they decide nothing.
+//! An [`Interface`] only parses and formats. All decisions are made by the node.
 
 use crate::retry_after::retry_after;
 use bytes::Bytes;
@@ -17,63 +17,62 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Header of the product's own interface that carries a request's identity.
+/// Header of the native interface with the ID of a request.
 pub(crate) const REQUEST_ID: &str = "cowslipford-request-id";
-/// Header by which a caller names a service.
+/// Header with which a caller names a service.
 const SERVICE: &str = "cowslipford-service";
-/// Header by which a caller gives the expected cost.
+/// Header with which a caller states the expected cost.
 const SIZE: &str = "cowslipford-size";
-/// Header that tells an engine from which other one to copy what that has kept of
-/// the prompt. Only a router sets it.
+/// Header with the address of another engine, from which an engine copies the cached part of the
+/// prompt. Only routers set it.
 const COPY_FROM: &str = "cowslipford-copy-from";
-
-/// Header by which an endpoint says that it leaves.
+/// Header with which an endpoint announces that it is leaving.
 const LEAVING: &str = "cowslipford-leaving";
 
-/// What a caller's head says.
+/// Contents of the head of a caller's request.
 #[derive(Clone, Debug, Default)]
 pub struct Inbound {
-    /// Identity that the caller gave the request, if it did.
+    /// ID that the caller gave the request.
     pub identity: Option<HeaderValue>,
-    /// Hash of the customer's key, if one was sent.
+    /// Hash of the customer's key.
     pub key: Option<Hash>,
-    /// Service that the caller names.
+    /// Service that the caller asks for.
     pub service: Option<String>,
-    /// Time for which the caller will wait.
+    /// Time for which the caller waits.
     pub timeout: Option<Duration>,
     /// Expected cost, in units of the service.
     pub size: Option<u32>,
-    /// What is known of the prompt.
+    /// Prompt, as far as its length and parts are known.
     pub prompt: Prompt,
 }
 
-/// What an onward request is to say.
+/// Values for the headers of a request to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Outbound<'a> {
-    /// Identity that the router gave the request, in case its caller gave none.
+    /// ID that the router gave the request, for requests without one from the caller.
     pub identity: &'a str,
-    /// Endpoint that it is meant for.
+    /// Endpoint that the request is sent to.
     pub endpoint: &'a Name,
-    /// Customer whose key it bore.
+    /// Customer whose key the request contained.
     pub customer: Option<&'a Name>,
-    /// Time that is left.
+    /// Time until the request's deadline.
     pub time_left: Duration,
-    /// Engine that has kept more of the prompt, to copy it from.
+    /// Engine that has more of the prompt in its cache, to copy it from.
     pub copy_from: Option<SocketAddr>,
 }
 
-/// What the head of an endpoint's answer says.
+/// Information in the head of an endpoint's response.
 #[derive(Clone, Debug, Default)]
 pub struct Signals {
-    /// Identity of the request that it answers, if it says one.
+    /// ID of the request that is answered.
     pub identity: Option<HeaderValue>,
-    /// Whether the endpoint says that it has not run the request.
+    /// Whether the endpoint states that it has not run the request.
     pub not_run: bool,
-    /// Whether it can be an endpoint's own answer.
+    /// Whether the response can come from an endpoint, rather than from a proxy before it.
     pub is_authentic: bool,
-    /// Whether the endpoint says that it leaves, or that another one has its address.
+    /// Whether the endpoint announces that it is leaving, or another one now has its address.
     pub is_leaving: bool,
-    /// Time for which the endpoint wants no more requests of this router.
+    /// Time for which the endpoint wants no more requests from this router.
     pub retry_after: Option<Duration>,
 }
 
@@ -85,79 +84,78 @@
 pub struct Page {
     /// Endpoints of the page.
     pub endpoints: Vec<Listed>,
-    /// Path of the next page.
+    /// Path of the next page, if there is one.
     pub next: Option<String>,
-    /// Entries that name no endpoint to use, since they cannot be read.
+    /// Number of entries that could not be parsed.
     pub unreadable: usize,
 }
 
-/// What an engine says of itself and of what it has kept.
+/// Contents of an engine's prompt cache.
 #[derive(Clone, Debug, Default)]
 pub struct Contents {
-    /// When it started, in Unix milliseconds, if it says so.
+    /// When the engine started, in Unix milliseconds.
     pub born: Option<u64>,
-    /// Parts of prompts.
+    /// Cached parts of prompts.
     pub parts: Vec<Part>,
 }
 
-/// How an engine tells what it has kept of prompts.
+/// How to read the contents of an engine's prompt cache.
 #[derive(Clone, Copy, Debug)]
 pub struct Inventory {
-    /// Path of its page.
+    /// Path of the page that lists them.
     pub path: &'static str,
-    /// Reads the page; an error says what is wrong with it.
+    /// Parses the page; the error says what is wrong with it.
     pub parse: fn(&[u8]) -> Result<Contents, String>,
 }
 
-/// One way of speaking.
+/// One HTTP dialect: paths, and functions that parse and format messages.
 #[derive(Clone, Copy, Debug)]
 pub struct Interface {
-    /// Reads a caller's head; an error says what is wrong with it.
+    /// Parses the head of a caller's request; the error says what is wrong with it.
     pub parse_request: fn(&request::Parts) -> Result<Inbound, String>,
-    /// Makes a caller's headers those of the onward request.
+    /// Rewrites a caller's headers for the request to the endpoint.
     pub rewrite_headers: fn(&mut HeaderMap, &Outbound<'_>),
-    /// Reads the head of an endpoint's answer.
+    /// Parses the head of an endpoint's response.
     pub parse_response: fn(&response::Parts) -> Signals,
-    /// Status with which the router says how a request ended that no endpoint
-    /// has answered.
+    /// Maps the status of a response that the router itself makes, because no endpoint answered.
     pub map_status: fn(StatusCode, Outcome) -> StatusCode,
-    /// Path of complete configurations.
+    /// Path at which operators put and get the complete configuration.
     pub release_path: &'static str,
-    /// Reads a complete configuration; an error says what is wrong with it.
+    /// Parses a complete configuration; the error says what is wrong with it.
     pub parse_release: fn(Bytes) -> Result<Release, String>,
-    /// Path of orders to evacuate a data centre, which its name follows.
+    /// Path of orders to evacuate a data centre, without its name at the end.
     pub evacuation_path: &'static str,
-    /// Path of the first page of the platform's list.
+    /// Path of the first page of the platform's list of endpoints.
     pub listing_path: &'static str,
-    /// The path of a page of the list for the endpoints of one data centre alone, if the list
-    /// can be asked for them.
+    /// Restricts the path of a page of the list to one data centre, if the platform supports that.
     pub data_centre_path: fn(&str, &Name) -> Option<String>,
-    /// Reads a page of the list.
+    /// Parses a page of the list.
     pub parse_page: fn(&[u8], &Regions) -> Result<Page, String>,
-    /// How engines tell what they have kept, if they do.
+    /// How to read the prompt caches of engines, if they can list them.
     pub inventory: Option<Inventory>,
 }
 
 impl Interface {
-    /// The product's own.
+    /// The native dialect, which has the project's own header names and paths.
     pub fn native() -> Self {
         Interface {
-            parse_request: own_ask,
-            rewrite_headers: own_pass_on,
-            parse_response: own_answer,
+            parse_request: native_request,
+            rewrite_headers: native_headers,
+            parse_response: native_response,
             map_status: |status, _| status,
             release_path: "/release",
-            parse_release: own_release,
+            parse_release: native_release,
             evacuation_path: "/evacuation/",
             listing_path: "/endpoints",
             data_centre_path: |_, _| None,
-            parse_page: own_page,
+            parse_page: native_page,
             inventory: None,
         }
     }
 }
 
-fn own_ask(head: &request::Parts) -> Result<Inbound, String> {
+/// Parses the head of a caller's request of the native interface.
+fn native_request(head: &request::Parts) -> Result<Inbound, String> {
     let text = |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok());
     let header = head.headers.get(AUTHORIZATION);
     let header = header.and_then(|v| v.to_str().ok());
@@ -170,7 +168,8 @@
     })
 }
 
-fn own_pass_on(headers: &mut HeaderMap, onward: &Outbound<'_>) {
+/// Rewrites a caller's headers for an endpoint with the native interface.
+fn native_headers(headers: &mut HeaderMap, onward: &Outbound<'_>) {
     headers.remove(AUTHORIZATION);
     headers.remove(COPY_FROM);
     if let Some(address) = onward.copy_from {
@@ -183,7 +182,8 @@
     }
 }
 
-fn own_answer(head: &response::Parts) -> Signals {
+/// Parses the head of a response of an endpoint with the native interface.
+fn native_response(head: &response::Parts) -> Signals {
     Signals {
         identity: head.headers.get(REQUEST_ID).cloned(),
         not_run: false,
@@ -193,9 +193,9 @@
     }
 }
 
-/// A release of the product's own interface: JSON with `number` and `text`, a
-/// configuration file.
-fn own_release(document: Bytes) -> Result<Release, String> {
+/// Parses a complete configuration of the native interface: JSON with `number` and `text`, the
+/// text of a configuration file.
+fn native_release(document: Bytes) -> Result<Release, String> {
     #[derive(serde::Deserialize)]
     #[serde(rename_all = "kebab-case", deny_unknown_fields)]
     struct Document {
@@ -211,11 +211,11 @@
     })
 }
 
-/// A page of the product's own interface: JSON with `endpoints` and `next`.
-fn own_page(page: &[u8], regions: &Regions) -> Result<Page, String> {
+/// Parses a page of the native interface: JSON with `endpoints` and `next`.
+fn native_page(page: &[u8], regions: &Regions) -> Result<Page, String> {
     #[derive(serde::Deserialize)]
     #[serde(rename_all = "kebab-case")]
-    struct Line {
+    struct Entry {
         name: Name,
         service: Name,
         address: SocketAddr,
@@ -230,22 +230,22 @@
     }
     #[derive(serde::Deserialize)]
     #[serde(rename_all = "kebab-case")]
-    struct Lines {
-        endpoints: Vec<Line>,
+    struct Entries {
+        endpoints: Vec<Entry>,
         next: Option<String>,
     }
-    let read: Lines = serde_json::from_slice(page).map_err(|e| e.to_string())?;
-    let endpoints = read.endpoints.into_iter().map(|line| Listed {
-        leaving: line.leaving,
-        born: line.born,
-        cold_ms: line.cold_ms,
+    let read: Entries = serde_json::from_slice(page).map_err(|e| e.to_string())?;
+    let endpoints = read.endpoints.into_iter().map(|entry| Listed {
+        leaving: entry.leaving,
+        born: entry.born,
+        cold_ms: entry.cold_ms,
         endpoint: state::config::Endpoint {
-            region: region(regions, &line.data_centre),
-            name: line.name,
-            service: line.service,
-            address: line.address,
-            data_centre: line.data_centre,
-            slots: line.slots,
+            region: region(regions, &entry.data_centre),
+            name: entry.name,
+            service: entry.service,
+            address: entry.address,
+            data_centre: entry.data_centre,
+            slots: entry.slots,
             lead: 0,
         },
     });
@@ -256,8 +256,7 @@
     })
 }
 
-/// Region of a data centre; one that the settings do not name is a region of
-/// its own.
+/// Region of a data centre. A data centre that the settings do not name is its own region.
 pub fn region(regions: &Regions, data_centre: &Name) -> Name {
     regions.get(data_centre).unwrap_or(data_centre).clone()
 }
--- a/components/node/src/inventory.rs
+++ b/components/node/src/inventory.rs
@@ -1,8 +1,8 @@
-//! Asks engines what they have kept of prompts, where nobody remembers it.
+//! Asks engines for the contents of their prompt caches, if no router knows them.
 //!
-//! A scheduler's picture of its engines comes from the routers, which remember what
-//! they sent. After all of them were lost at once, requests would be sent to other
-//! engines than those that have kept their prompts, and be read again.
+//! Schedulers normally learn the contents from routers, which remember what they sent. If all
+//! routers were lost at once, requests would otherwise go to engines without the prompt in their
+//! cache, and the prefill would be repeated.
 
 use crate::fetch::fetch;
 use crate::input::Input;
@@ -16,53 +16,56 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Longest time for one engine; what comes later is known by then.
-const LONGEST: Duration = Duration::from_millis(800);
-/// Largest page in bytes: some ten thousand parts.
-const PAGE_MAX: usize = 1 << 20;
+/// Timeout for one engine. By then its cache is known well enough from its requests.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(800);
+/// Largest page in bytes, enough for some ten thousand parts.
+const PAGE_BYTES_MAX: usize = 1 << 20;
 
-/// An engine to ask.
+/// A query of one engine's prompt cache.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Unknown {
+pub(crate) struct Inquiry {
     pub(crate) endpoint: EndpointId,
     pub(crate) address: SocketAddr,
 }
 
-/// Asks the engines that schedulers name, until told to stop.
+/// Queries the engines that schedulers name, until `stop` is set.
 pub(crate) async fn run(
     inventory: Inventory,
-    inquiries: flume::Receiver<Unknown>,
+    inquiries: flume::Receiver<Inquiry>,
     reactor: flume::Sender<Input>,
     mut stop: watch::Receiver<bool>,
 ) {
-    let mut asking = JoinSet::new();
+    let mut queries = JoinSet::new();
     loop {
         tokio::select! {
-            Ok(unknown) = inquiries.recv_async() => {
-                asking.spawn(tell(inventory, unknown, reactor.clone()));
+            Ok(inquiry) = inquiries.recv_async() => {
+                queries.spawn(run_query(inventory, inquiry, reactor.clone()));
             }
-            Some(_) = asking.join_next() => {}
+            Some(_) = queries.join_next() => {}
             () = cancelled(&mut stop) => break,
         }
     }
-    asking.shutdown().await;
+    queries.shutdown().await;
 }
 
-/// Asks one engine, and tells the reactor what it has kept.
-async fn tell(inventory: Inventory, unknown: Unknown, reactor: flume::Sender<Input>) {
-    let told = ask(inventory, unknown).await.unwrap_or_else(|error| {
-        // Its parts are learned from the requests that it gets.
-        tracing::info!(event = Line::InventoryMissing.as_str(), %error);
-        Contents::default()
-    });
+/// Queries one engine, and sends the result to the reactor.
+async fn run_query(inventory: Inventory, inquiry: Inquiry, reactor: flume::Sender<Input>) {
+    let contents = fetch_contents(inventory, inquiry)
+        .await
+        .unwrap_or_else(|error| {
+            // The contents are learned from the requests that the engine gets.
+            tracing::info!(event = Line::InventoryMissing.as_str(), %error);
+            Contents::default()
+        });
     // The reactor ends only together with this process.
-    let _ = reactor.send(Input::Inventory(unknown.endpoint, told));
+    let _ = reactor.send(Input::Inventory(inquiry.endpoint, contents));
 }
 
-async fn ask(inventory: Inventory, unknown: Unknown) -> Result<Contents> {
-    let step = "ask an engine what it has kept";
-    let peer = unknown.address;
-    let page = tokio::time::timeout(LONGEST, fetch(peer, inventory.path, PAGE_MAX));
+/// Fetches and parses an engine's list of cached prompts.
+async fn fetch_contents(inventory: Inventory, inquiry: Inquiry) -> Result<Contents> {
+    let step = "read an engine's prompt cache";
+    let peer = inquiry.address;
+    let page = tokio::time::timeout(QUERY_TIMEOUT, fetch(peer, inventory.path, PAGE_BYTES_MAX));
     let page = page.await.map_err(Error::peer(step, peer))??;
     (inventory.parse)(&page).map_err(Error::peer(step, peer))
 }
--- a/components/node/src/journal.rs
+++ b/components/node/src/journal.rs
@@ -1,4 +1,4 @@
-//! The bounded ring of time-line events of one process.
+//! Ring buffer of the time-line events of one process.
 
 use serde::{Deserialize, Serialize};
 use state::clock::Stamp;
@@ -8,27 +8,28 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use transport::clock::Clock;
 
-/// Events of one process, as operators get them.
+/// Events of one process, as returned to operators.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Dump {
-    /// The VM.
+    /// Name of the VM.
     pub vm: Name,
-    /// Its incarnation.
+    /// Incarnation of the process.
     pub incarnation: u64,
-    /// Events that the ring has dropped.
+    /// Number of events that were overwritten.
     pub dropped: u64,
-    /// Events that it still holds, in order.
+    /// Events in the buffer, in order.
     pub events: Vec<Event>,
 }
 
-/// The ring.
+/// A shared handle to the ring buffer.
 #[derive(Clone, Debug)]
 pub struct Journal {
     clock: Clock,
     ring: Arc<Mutex<Ring>>,
 }
 
+/// The buffer, and the number of events that it has dropped.
 #[derive(Debug)]
 struct Ring {
     events: VecDeque<Event>,
@@ -37,7 +38,7 @@
 }
 
 impl Journal {
-    /// A ring that holds the last `capacity` events.
+    /// Creates a ring buffer of the last `capacity` events.
     pub fn new(clock: Clock, capacity: usize) -> Self {
         let ring = Ring {
             events: VecDeque::with_capacity(capacity.min(1024)),
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Stamps an event and keeps it; the oldest gives way.
+    /// Stamps an event and stores it, in place of the oldest one if the buffer is full.
     pub fn note(&self, mut event: Event) -> Stamp {
         let mut ring = self.ring();
         event.stamp = self.clock.stamp();
@@ -63,7 +64,7 @@
         stamp
     }
 
-    /// What the ring holds.
+    /// Copies the events in the buffer.
     pub fn dump(&self, vm: Name, incarnation: u64) -> Dump {
         let ring = self.ring();
         Dump {
--- a/components/node/src/lib.rs
+++ b/components/node/src/lib.rs
@@ -1,8 +1,8 @@
-//! The actors of one process: router, scheduler, control, operators' side.
+//! The actors of one process: router, schedulers, control role and operators' server.
 //!
-//! The reactor owns the router's and the schedulers' decisions and runs as one
-//! task; the control role runs on a thread of its own, because it waits for
-//! the disk. They and the links talk by flume channels.
+//! The reactor makes the decisions of the router and the schedulers, as a single task. The control
+//! role runs on a thread of its own because it blocks on the disk. These two and the links
+//! communicate through flume channels.
 
 mod batch;
 mod control;
--- a/components/node/src/metric.rs
+++ b/components/node/src/metric.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges that `/metrics` shows.
+//! Counters, gauges and histograms that `/metrics` exports.
 
 use errors::{Error, Result};
 use prometheus::{
@@ -9,16 +9,16 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Bounds of latency histograms in seconds, from a local answer to a long stream.
-const BUCKETS: [f64; 14] = [
+/// Bucket bounds of latency histograms in seconds, from a local answer to a long stream.
+const BUCKETS_S: [f64; 14] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0,
 ];
 
-/// Rules that have series of their own: each costs some kilobytes, and operators bring
-/// new names with each configuration.
-const RULES: usize = 256;
+/// Largest number of rules that have their own time series. Each rule costs some kilobytes, and
+/// each configuration may bring new names.
+const LABELLED_RULES_MAX: usize = 256;
 
-/// What is counted of a request.
+/// Label values of a request that has ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Labels<'a> {
     pub(crate) service: &'a str,
@@ -31,82 +31,82 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Names of rules that are labels.
+    /// Names of rules that are used as labels.
     rules: Arc<Mutex<BTreeSet<String>>>,
-    /// Requests by outcome and status.
+    /// Number of requests by outcome and status.
     pub(crate) requests: IntCounterVec,
-    /// Requests by service, rule, outcome and reason, as their log lines say them.
+    /// Number of requests by service, rule, outcome and reason, with the values of the log lines.
     pub(crate) ends: IntCounterVec,
     /// Seconds from a request's arrival to the end of its answer, by service, rule
     /// and outcome.
-    pub(crate) took: HistogramVec,
+    pub(crate) durations: HistogramVec,
     /// Seconds from a request's arrival to the first piece of its answer, by service
     /// and rule.
-    pub(crate) first: HistogramVec,
+    pub(crate) first_byte_times: HistogramVec,
     /// Seconds from a request's arrival to its dispatch.
     pub(crate) queue_wait: Histogram,
     /// Seconds from a request's arrival to the end of its answer.
     pub(crate) duration: Histogram,
-    /// Tries after the first.
+    /// Attempts after the first one of a request.
     pub(crate) retries: IntCounter,
     /// Requests that wait on this router.
     pub(crate) waiting: IntGauge,
-    /// Data centres whose endpoints get no requests.
+    /// Number of evacuated data centres, whose endpoints get no requests.
     pub(crate) evacuated: IntGauge,
     /// Requests in progress on this router.
-    pub(crate) held: IntGauge,
+    pub(crate) in_progress: IntGauge,
     /// Connections that callers opened.
     pub(crate) accepted_connections: IntCounter,
     /// Requests whose head was read.
     pub(crate) request_heads: IntCounter,
-    /// Tries sent to endpoints.
+    /// Attempts sent to endpoints.
     pub(crate) attempts: IntCounter,
-    /// Connections closed unread, since tasks ran late or there was no place for them.
+    /// Connections closed unread, because tasks ran late or the connection limit was reached.
     pub(crate) closed_unread: IntCounter,
     /// Requests refused without a log line.
     pub(crate) unlogged_refusals: IntCounter,
-    /// Callers' connections.
+    /// Open connections of callers.
     pub(crate) connections: IntGauge,
-    /// Requests that have a head and have not ended.
+    /// Requests whose head was read and that have not ended.
     pub(crate) open_requests: IntGauge,
-    /// Bytes of bodies that arrive, wait or run.
+    /// Bytes of request bodies in memory.
     pub(crate) body_bytes: IntGauge,
-    /// Idle connections kept to endpoints.
+    /// Idle pooled connections to endpoints.
     pub(crate) idle_connections: IntGauge,
-    /// Inputs that wait for the reactor.
+    /// Inputs in the reactor's queue.
     pub(crate) queued_inputs: IntGauge,
-    /// Bytes of memory that the process holds.
-    pub(crate) resident: IntGauge,
-    /// Most milliseconds by which a task ran late in the last second.
-    pub(crate) late: IntGauge,
-    /// Version in force.
+    /// Resident memory of the process in bytes.
+    pub(crate) resident_bytes: IntGauge,
+    /// Largest lateness of a task in the last second, in milliseconds.
+    pub(crate) lateness_ms: IntGauge,
+    /// Version of the view in force.
     pub(crate) version: IntGauge,
-    /// Whether this process is ready.
+    /// 1 if this process is ready, otherwise 0.
     pub(crate) ready: IntGauge,
     /// Shards that this router schedules alone.
-    pub(crate) local: IntGauge,
-    /// Grants given by this VM's schedulers.
+    pub(crate) local_shards: IntGauge,
+    /// Grants sent by the schedulers of this VM.
     pub(crate) grants: IntCounter,
-    /// Grants that routers gave back.
+    /// Grants that routers returned.
     pub(crate) returns: IntCounter,
-    /// Slots and requests in progress, by shard, where this VM schedules.
+    /// Slots, routers, and running and waiting requests of the shards that are scheduled here.
     pub(crate) slots: IntGaugeVec,
-    /// Service received, by customer, where this VM schedules.
-    pub(crate) service: IntGaugeVec,
-    /// Links, and datagrams and their bytes on them.
-    pub(crate) link: IntGaugeVec,
-    /// Frames sent and their bytes, by kind.
+    /// Virtual service of customers in the shards that are scheduled here.
+    pub(crate) received_service: IntGaugeVec,
+    /// Open links, and the datagrams and bytes on them.
+    pub(crate) links: IntGaugeVec,
+    /// Number and bytes of frames sent, by kind.
     pub(crate) frames: IntGaugeVec,
-    /// Control: term, index of the last accepted entry, bytes of the log, syncs.
+    /// Replicated log: term, index of the last committed entry, bytes of the log, syncs.
     pub(crate) control: IntGaugeVec,
 }
 
 impl Metrics {
-    /// Makes and registers all metrics.
+    /// Creates and registers all metrics.
     ///
     /// # Errors
     ///
-    /// When two of them have the same name.
+    /// If two of them have the same name.
     pub(crate) fn new() -> Result<Self> {
         let registry = Registry::new();
         let step = "register metrics";
@@ -127,7 +127,7 @@
             Ok(g)
         };
         let seconds = |name: &str, help: &str| -> Result<Histogram> {
-            let opts = HistogramOpts::new(name, help).buckets(BUCKETS.to_vec());
+            let opts = HistogramOpts::new(name, help).buckets(BUCKETS_S.to_vec());
             let h = Histogram::with_opts(opts).map_err(Error::key(step))?;
             r.register(Box::new(h.clone())).map_err(Error::key(step))?;
             Ok(h)
@@ -156,39 +156,37 @@
             "cowslipford_request_took_seconds",
             "Time from arrival to the end of the answer, by service, rule and outcome.",
         );
-        let took = HistogramVec::new(
-            opts.buckets(BUCKETS.to_vec()),
+        let durations = HistogramVec::new(
+            opts.buckets(BUCKETS_S.to_vec()),
             &["service", "rule", "outcome"],
         )
         .map_err(Error::key(step))?;
-        r.register(Box::new(took.clone()))
+        r.register(Box::new(durations.clone()))
             .map_err(Error::key(step))?;
         let opts = HistogramOpts::new(
             "cowslipford_request_first_seconds",
             "Time from arrival to the first piece of the answer, by service and rule.",
         );
-        let first = HistogramVec::new(opts.buckets(BUCKETS.to_vec()), &["service", "rule"])
-            .map_err(Error::key(step))?;
-        r.register(Box::new(first.clone()))
+        let first_byte_times =
+            HistogramVec::new(opts.buckets(BUCKETS_S.to_vec()), &["service", "rule"])
+                .map_err(Error::key(step))?;
+        r.register(Box::new(first_byte_times.clone()))
             .map_err(Error::key(step))?;
         Ok(Metrics {
             rules: Arc::default(),
             ends,
-            took,
-            first,
+            durations,
+            first_byte_times,
             requests,
             queue_wait: seconds("cowslipford_wait_seconds", "Time from arrival to dispatch.")?,
             duration: seconds(
                 "cowslipford_request_seconds",
                 "Time from arrival to the end.",
             )?,
-            retries: counter("cowslipford_retries_total", "Tries after the first.")?,
-            evacuated: gauge(
-                "cowslipford_evacuated",
-                "Data centres whose endpoints get no requests.",
-            )?,
+            retries: counter("cowslipford_retries_total", "Attempts after the first one.")?,
+            evacuated: gauge("cowslipford_evacuated", "Evacuated data centres.")?,
             waiting: gauge("cowslipford_waiting", "Requests that wait on this router.")?,
-            held: gauge(
+            in_progress: gauge(
                 "cowslipford_in_progress",
                 "Requests in progress on this router.",
             )?,
@@ -200,76 +198,83 @@
                 "cowslipford_requests_asked_total",
                 "Requests whose head was read.",
             )?,
-            attempts: counter("cowslipford_tries_sent_total", "Tries sent to endpoints.")?,
+            attempts: counter(
+                "cowslipford_tries_sent_total",
+                "Attempts sent to endpoints.",
+            )?,
             closed_unread: counter(
                 "cowslipford_connections_turned_away_total",
-                "Connections closed unread, since tasks ran late or there was no place for them.",
+                "Connections closed unread: tasks ran late or the limit was reached.",
             )?,
             unlogged_refusals: counter(
                 "cowslipford_untold_refusals_total",
                 "Requests refused while tasks ran late, without a log line.",
             )?,
-            connections: gauge("cowslipford_connections", "Callers' connections.")?,
+            connections: gauge("cowslipford_connections", "Open connections of callers.")?,
             open_requests: gauge(
                 "cowslipford_requests_here",
-                "Requests that have a head and have not ended.",
+                "Requests whose head was read and that have not ended.",
             )?,
             body_bytes: gauge(
                 "cowslipford_body_bytes",
-                "Bytes of bodies that arrive, wait or run.",
+                "Bytes of request bodies in memory.",
             )?,
             idle_connections: gauge(
                 "cowslipford_kept_connections",
-                "Idle connections kept to endpoints.",
+                "Idle pooled connections to endpoints.",
             )?,
             queued_inputs: gauge(
                 "cowslipford_reactor_inputs",
-                "Inputs that wait for the reactor.",
+                "Inputs in the reactor's queue.",
             )?,
-            resident: gauge(
+            resident_bytes: gauge(
                 "cowslipford_resident_bytes",
-                "Memory that the process holds.",
+                "Resident memory of the process in bytes.",
             )?,
-            late: gauge(
+            lateness_ms: gauge(
                 "cowslipford_late_milliseconds",
-                "Most by which a task ran late in the last second.",
+                "Largest lateness of a task in the last second, in milliseconds.",
             )?,
-            version: gauge("cowslipford_version", "Version in force.")?,
-            ready: gauge("cowslipford_ready", "Whether this process is ready.")?,
-            local: gauge(
+            version: gauge("cowslipford_version", "Version of the view in force.")?,
+            ready: gauge(
+                "cowslipford_ready",
+                "1 if this process is ready, otherwise 0.",
+            )?,
+            local_shards: gauge(
                 "cowslipford_local_shards",
                 "Shards that this router schedules alone.",
             )?,
             grants: counter(
                 "cowslipford_grants_total",
-                "Grants given by schedulers here.",
-            )?,
-            returns: counter(
-                "cowslipford_returns_total",
-                "Grants that routers gave back.",
+                "Grants sent by the schedulers of this VM.",
             )?,
+            returns: counter("cowslipford_returns_total", "Grants that routers returned.")?,
             slots: gauges(
                 "cowslipford_shard",
-                "Slots, running and waiting of shards that are scheduled here.",
+                "Slots, routers and requests of the shards that are scheduled here.",
                 &["service", "region", "what"],
             )?,
-            service: gauges(
+            received_service: gauges(
                 "cowslipford_service_received",
-                "Virtual service of customers in shards that are scheduled here.",
+                "Virtual service of customers in the shards that are scheduled here.",
                 &["service", "region", "customer"],
             )?,
             frames: gauges(
                 "cowslipford_frames_sent",
-                "Frames sent and their bytes, by kind.",
+                "Number and bytes of frames sent, by kind.",
                 &["kind", "what"],
             )?,
-            link: gauges("cowslipford_links", "Traffic on links.", &["what"])?,
-            control: gauges("cowslipford_control", "The replicated log.", &["what"])?,
+            links: gauges("cowslipford_links", "Links and their traffic.", &["what"])?,
+            control: gauges(
+                "cowslipford_control",
+                "State of the replicated log.",
+                &["what"],
+            )?,
             registry,
         })
     }
 
-    /// Counts a request that has ended.
+    /// Records a request that has ended.
     pub(crate) fn record_end(&self, took: Duration, first: Option<Duration>, labels: Labels<'_>) {
         let Labels {
             service,
@@ -277,31 +282,31 @@
             outcome,
             reason,
         } = labels;
-        let rule = self.rule(rule);
+        let rule = self.rule_label(rule);
         let ends = [service, rule, outcome, reason];
         self.ends.with_label_values(&ends).inc();
-        let histogram = self.took.with_label_values(&[service, rule, outcome]);
+        let histogram = self.durations.with_label_values(&[service, rule, outcome]);
         histogram.observe(took.as_secs_f64());
         if let Some(first) = first {
-            let histogram = self.first.with_label_values(&[service, rule]);
+            let histogram = self.first_byte_times.with_label_values(&[service, rule]);
             histogram.observe(first.as_secs_f64());
         }
     }
 
-    /// A rule's name, if it is one of the first [`RULES`].
-    fn rule<'a>(&self, rule: &'a str) -> &'a str {
+    /// Label of a rule: its name if it is one of the first [`LABELLED_RULES_MAX`].
+    fn rule_label<'a>(&self, rule: &'a str) -> &'a str {
         let mut rules = self.rules.lock().unwrap_or_else(PoisonError::into_inner);
         if rules.contains(rule) {
             return rule;
         }
-        if rules.len() >= RULES {
+        if rules.len() >= LABELLED_RULES_MAX {
             return "(other)";
         }
         rules.insert(rule.to_owned());
         rule
     }
 
-    /// The text that `/metrics` gives.
+    /// Text of `/metrics`.
     pub(crate) fn text(&self) -> String {
         let families = self.registry.gather();
         TextEncoder::new()
@@ -310,7 +315,7 @@
     }
 }
 
-/// A gauge's value from a count.
+/// Converts a count into the value of a gauge.
 pub(crate) fn gauge_value<N>(number: N) -> i64
 where
     N: TryInto<i64>,
--- a/components/node/src/monitor.rs
+++ b/components/node/src/monitor.rs
@@ -1,7 +1,8 @@
-//! What this process takes of its VM: memory, connections, processor.
+//! Monitors this process's use of its VM: memory, connections, and processor by how late tasks
+//! run.
 //!
-//! Gauges show it at all times. While the process is under pressure a log line each
-//! second tells the same, so that what led to an end can be read afterwards.
+//! Gauges show these at all times. While the process is under pressure they are also logged every
+//! second, so that the cause of a crash can be found afterwards.
 
 use crate::metric::{gauge_value, Metrics};
 use crate::shared::{cancelled, Published};
@@ -14,92 +15,97 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Time between two looks.
-const LOOK: Duration = Duration::from_secs(1);
+/// Time between two updates of the gauges.
+const MEASURE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two probes of how late tasks run. Each costs a wake-up.
+/// Time between two probes of how late tasks run. Each probe costs a wake-up.
 pub(crate) const PROBE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Lateness of tasks from which on that line is written, in milliseconds.
-const TOLD_MS: u64 = 20;
+/// Lateness of tasks from which the pressure is logged, in milliseconds.
+const LOGGED_LATENESS_MS: u64 = 20;
 
-/// Callers' connections from which on it does.
-const MANY: i64 = 256;
+/// Number of callers' connections from which the pressure is logged.
+const LOGGED_CONNECTIONS: i64 = 256;
 
-/// Bytes of a page of memory.
-const PAGE: i64 = 4096;
+/// Size of a page of memory in bytes.
+const PAGE_BYTES: i64 = 4096;
 
-/// How late tasks of this process run: a task that sleeps tells it when it wakes.
+/// How late tasks of this process run, measured by a task that sleeps and compares the time at
+/// which it wakes with the time at which it should have.
 ///
-/// It is the time that whatever has just come waits until the processor turns to it.
+/// New work waits about as long until the processor gets to it.
 #[derive(Clone, Debug)]
 pub(crate) struct Lateness {
-    began: Instant,
+    /// Origin of the times in `shared`.
+    started: Instant,
     shared: Arc<Probe>,
 }
 
+/// Results of the probes, and work admitted since the last one.
 #[derive(Debug, Default)]
 struct Probe {
-    /// When the sleeping task is due, in milliseconds since the beginning.
-    due: AtomicU64,
-    /// How late it was the last time, in milliseconds.
-    last: AtomicU64,
-    /// How late it was the time before.
-    before: AtomicU64,
-    /// Requests and connections that were let in since.
-    taken: AtomicU64,
-    /// Connections that were let in since, and those that were closed unread.
+    /// When the sleeping task should wake, in milliseconds since `started`.
+    due_ms: AtomicU64,
+    /// Lateness of the last probe, in milliseconds.
+    last_ms: AtomicU64,
+    /// Lateness of the probe before the last one, in milliseconds.
+    before_ms: AtomicU64,
+    /// Requests and connections admitted since the last probe.
+    admitted: AtomicU64,
+    /// Connections admitted since the last probe.
     accepted: AtomicU64,
+    /// Connections closed unread since the last probe.
     closed: AtomicU64,
-    /// Connections that may be let in between two probes.
-    takes: AtomicU64,
-    /// Whether new connections are to go to other routers.
+    /// Largest number of connections that may be admitted between two probes.
+    connections_max: AtomicU64,
+    /// Whether new connections should go to other routers.
     is_shedding: AtomicBool,
-    /// Whether they do by now.
+    /// Whether new connections do go to other routers by now.
     is_bypassed: AtomicBool,
 }
 
 impl Default for Lateness {
     fn default() -> Self {
         let lateness = Lateness {
-            began: Instant::now(),
+            started: Instant::now(),
             shared: Arc::default(),
         };
-        lateness.shared.due.store(u64::MAX, Ordering::Relaxed);
-        (lateness.shared.takes).store(Limit::default().takes(), Ordering::Relaxed);
+        lateness.shared.due_ms.store(u64::MAX, Ordering::Relaxed);
+        (lateness.shared.connections_max).store(Limit::default().takes(), Ordering::Relaxed);
         lateness
     }
 }
 
 impl Lateness {
-    /// Milliseconds by which tasks run late now.
+    /// Current lateness of tasks in milliseconds.
     fn ms(&self) -> u64 {
         let load = |of: &AtomicU64| of.load(Ordering::Relaxed);
         let probes = Probes {
-            last_ms: load(&self.shared.last),
-            before_ms: load(&self.shared.before),
-            overdue_ms: self.elapsed().saturating_sub(load(&self.shared.due)),
-            taken: load(&self.shared.taken),
+            last_ms: load(&self.shared.last_ms),
+            before_ms: load(&self.shared.before_ms),
+            overdue_ms: self.elapsed_ms().saturating_sub(load(&self.shared.due_ms)),
+            taken: load(&self.shared.admitted),
         };
         probes.lateness()
     }
 
-    /// Whether what this process measures of others tells of itself.
+    /// Whether tasks run so late that times measured by this process, such as those of endpoints,
+    /// say more about this process.
     pub(crate) fn is_late(&self) -> bool {
         Intake::of_request(self.ms()) != Intake::Take
     }
 
-    /// Whether a connection that waits may be accepted, if only to be closed.
+    /// Whether a waiting connection may be accepted, even if only to be closed.
     pub(crate) fn may_accept(&self) -> bool {
-        self.of_connection() != Intake::Wait
+        self.decide_connection() != Intake::Wait
     }
 
-    /// What to do with a connection that was accepted.
+    /// Decides what to do with an accepted connection, and counts it.
     pub(crate) fn admit_connection(&self) -> Intake {
-        let intake = self.of_connection();
+        let intake = self.decide_connection();
         match intake {
             Intake::Take => {
-                self.shared.taken.fetch_add(1, Ordering::Relaxed);
+                self.shared.admitted.fetch_add(1, Ordering::Relaxed);
                 self.shared.accepted.fetch_add(1, Ordering::Relaxed);
             }
             Intake::Close => {
@@ -110,12 +116,13 @@
         intake
     }
 
-    fn of_connection(&self) -> Intake {
-        let takes = self.shared.takes.load(Ordering::Relaxed);
+    /// Decides what to do with a connection.
+    fn decide_connection(&self) -> Intake {
+        let takes = self.shared.connections_max.load(Ordering::Relaxed);
         Intake::of_connection(self.ms(), self.arrivals(), takes)
     }
 
-    /// Connections that came since the last probe.
+    /// Connections that arrived since the last probe.
     fn arrivals(&self) -> Arrivals {
         Arrivals {
             taken: self.shared.accepted.load(Ordering::Relaxed),
@@ -123,73 +130,79 @@
         }
     }
 
-    /// What to do with a request whose head was read.
+    /// Decides what to do with a request whose head was read, and counts it.
     pub(crate) fn admit_request(&self) -> Intake {
         let intake = Intake::of_request(self.ms());
         if intake == Intake::Take {
-            self.shared.taken.fetch_add(1, Ordering::Relaxed);
+            self.shared.admitted.fetch_add(1, Ordering::Relaxed);
         }
         intake
     }
 
-    /// Whether new connections are to go to other routers.
+    /// Whether new connections should go to other routers.
     pub(crate) fn is_shedding(&self) -> bool {
         self.shared.is_shedding.load(Ordering::Relaxed)
     }
 
-    /// Whether they do by now, so that callers are best off with a new connection.
+    /// Whether new connections do go to other routers by now, so that a caller that reconnects
+    /// reaches one of them.
     pub(crate) fn is_bypassed(&self) -> bool {
         self.shared.is_bypassed.load(Ordering::Relaxed)
     }
 
-    /// Notes whether they are to and whether they do; tells whether the first has changed.
-    fn turn(&self, is_shedding: bool, is_bypassed: bool) -> bool {
+    /// Sets both flags. Returns whether `is_shedding` has changed.
+    fn set_shedding(&self, is_shedding: bool, is_bypassed: bool) -> bool {
         let shared = &self.shared;
         shared.is_bypassed.store(is_bypassed, Ordering::Relaxed);
         shared.is_shedding.swap(is_shedding, Ordering::Relaxed) != is_shedding
     }
 
-    fn elapsed(&self) -> u64 {
-        u64::try_from(self.began.elapsed().as_millis()).unwrap_or(u64::MAX)
+    /// Milliseconds since `started`.
+    fn elapsed_ms(&self) -> u64 {
+        u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Lateness that counts of the last probe, in milliseconds.
-    fn lasting(&self) -> u64 {
+    /// Lateness on which the limit is based, in milliseconds: that of the last probe if much work
+    /// was admitted before it, and otherwise the smaller one of the last two probes.
+    fn lasting_ms(&self) -> u64 {
         let load = |of: &AtomicU64| of.load(Ordering::Relaxed);
         let shared = &self.shared;
         Probes::lasting(
-            load(&shared.last),
-            load(&shared.before),
-            load(&shared.taken),
+            load(&shared.last_ms),
+            load(&shared.before_ms),
+            load(&shared.admitted),
         )
     }
 
-    /// Sets how many connections may be let in until the next probe, and begins to count.
-    fn begin(&self, takes: u64) {
+    /// Sets how many connections may be admitted until the next probe, and resets the counters.
+    fn reset(&self, connections_max: u64) {
         let shared = &self.shared;
-        shared.takes.store(takes, Ordering::Relaxed);
-        for counter in [&shared.taken, &shared.accepted, &shared.closed] {
+        shared
+            .connections_max
+            .store(connections_max, Ordering::Relaxed);
+        for counter in [&shared.admitted, &shared.accepted, &shared.closed] {
             counter.store(0, Ordering::Relaxed);
         }
     }
 
-    /// Sleeps for one probe; gives by how many milliseconds it woke too late.
+    /// Sleeps for one probe interval. Returns by how many milliseconds it woke too late.
     async fn probe(&self) -> u64 {
-        let due = self.elapsed() + millis(PROBE_INTERVAL);
-        self.shared.due.store(due, Ordering::Relaxed);
+        let due_ms = self.elapsed_ms() + millis(PROBE_INTERVAL);
+        self.shared.due_ms.store(due_ms, Ordering::Relaxed);
         tokio::time::sleep(PROBE_INTERVAL).await;
-        let late = self.elapsed().saturating_sub(due);
-        let last = self.shared.last.swap(late, Ordering::Relaxed);
-        self.shared.before.store(last, Ordering::Relaxed);
-        late
+        let late_ms = self.elapsed_ms().saturating_sub(due_ms);
+        let last_ms = self.shared.last_ms.swap(late_ms, Ordering::Relaxed);
+        self.shared.before_ms.store(last_ms, Ordering::Relaxed);
+        late_ms
     }
 }
 
+/// Whole milliseconds of a duration.
 fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Watches until told to stop.
+/// Probes and measures until `stop` is set, and decides whether to shed connections.
 pub(crate) async fn run(
     lateness: Lateness,
     metrics: Metrics,
@@ -199,44 +212,50 @@
     mut stop: watch::Receiver<bool>,
 ) {
     let connections = gauge_value(connections);
-    let mut next = Instant::now() + LOOK;
-    let mut latest = 0;
+    let mut next_measure_at = Instant::now() + MEASURE_INTERVAL;
+    let mut latest_ms = 0;
     let mut overload = Overload::default();
     let mut limit = Limit::default();
     loop {
-        let late = tokio::select! {
-            late = lateness.probe() => late,
+        let lateness_ms = tokio::select! {
+            lateness_ms = lateness.probe() => lateness_ms,
             () = cancelled(&mut stop) => return,
         };
-        limit.probe(lateness.lasting(), lateness.arrivals().taken);
-        lateness.begin(limit.takes());
+        limit.probe(lateness.lasting_ms(), lateness.arrivals().taken);
+        lateness.reset(limit.takes());
         let is_full = metrics.connections.get() >= connections;
-        let now = Millis(lateness.elapsed());
+        let now = Millis(lateness.elapsed_ms());
         let is_hot = published.borrow().is_hot;
         overload.note_hot(is_hot);
-        let is_shedding = overload.probe(now, late, is_full);
-        if lateness.turn(is_shedding, overload.is_passed_over(now)) {
+        let is_shedding = overload.probe(now, lateness_ms, is_full);
+        if lateness.set_shedding(is_shedding, overload.is_passed_over(now)) {
             let event = Line::Overload.as_str();
-            tracing::info!(event, away = is_shedding, hot = is_hot, late_ms = late);
+            tracing::info!(
+                event,
+                away = is_shedding,
+                hot = is_hot,
+                late_ms = lateness_ms
+            );
         }
-        latest = latest.max(late);
-        if Instant::now() < next {
+        latest_ms = latest_ms.max(lateness_ms);
+        if Instant::now() < next_measure_at {
             continue;
         }
-        look(&metrics, memory, latest);
-        next = Instant::now() + LOOK;
-        latest = 0;
+        measure(&metrics, memory, latest_ms);
+        next_measure_at = Instant::now() + MEASURE_INTERVAL;
+        latest_ms = 0;
     }
 }
 
-fn look(metrics: &Metrics, memory: u64, late_ms: u64) {
-    metrics.late.set(gauge_value(late_ms));
+/// Updates the gauges, and logs them under pressure.
+fn measure(metrics: &Metrics, memory: u64, late_ms: u64) {
+    metrics.lateness_ms.set(gauge_value(late_ms));
     let resident = resident().unwrap_or_else(|error| {
-        tracing::debug!(%error, "the resident memory cannot be read");
+        tracing::debug!(%error, "cannot read the resident memory");
         0
     });
-    metrics.resident.set(resident);
-    if late_ms < TOLD_MS && metrics.connections.get() < MANY {
+    metrics.resident_bytes.set(resident);
+    if late_ms < LOGGED_LATENESS_MS && metrics.connections.get() < LOGGED_CONNECTIONS {
         return;
     }
     tracing::info!(
@@ -250,7 +269,7 @@
         sent = metrics.attempts.get(),
         here = metrics.open_requests.get(),
         waiting = metrics.waiting.get(),
-        held = metrics.held.get(),
+        held = metrics.in_progress.get(),
         body_bytes = metrics.body_bytes.get(),
         kept = metrics.idle_connections.get(),
         inputs = metrics.queued_inputs.get(),
@@ -259,10 +278,10 @@
     );
 }
 
-/// Bytes of memory that this process holds.
+/// Resident memory of this process in bytes.
 fn resident() -> std::io::Result<i64> {
     let text = std::fs::read_to_string("/proc/self/statm")?;
     let pages = text.split_whitespace().nth(1).and_then(|p| p.parse().ok());
     let pages: i64 = pages.ok_or(std::io::ErrorKind::InvalidData)?;
-    Ok(pages * PAGE)
+    Ok(pages * PAGE_BYTES)
 }
--- a/components/node/src/operators.rs
+++ b/components/node/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' address: state, configuration, planned stops, metrics.
+//! HTTP server for operators: state, configuration, planned stops and metrics.
 
 use crate::control;
 use crate::evacuation::{Orders, Outcome};
@@ -27,18 +27,18 @@
 use transport::clock::Clock;
 use transport::link::Hub;
 
-/// Configuration files that are read at once; the next ones wait.
-const FILES: usize = 2;
-/// Largest configuration file in bytes: what a record of the log can hold.
+/// Largest number of configuration files that are received at once; others wait.
+const CONCURRENT_FILES_MAX: usize = 2;
+/// Largest configuration file in bytes: it has to fit into a record of the log.
 const BODY_MAX: usize = codec::RECORD_MAX;
-/// Time for one to arrive.
-const BODY_TIME: Duration = Duration::from_secs(10);
-/// Longest time for an answer of the control VMs.
-const ANSWER: Duration = Duration::from_secs(10);
+/// Time for a configuration file to arrive.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout for an answer of the control VMs.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What the operators' side is given.
+/// Dependencies of the operators' server.
 pub(crate) struct Parts {
-    /// Hash of the operators' key; without one nobody has it.
+    /// Hash of the operators' key. Without one, only the paths that need no key are served.
     pub(crate) key: Option<Hash>,
     pub(crate) hub: Hub,
     pub(crate) clock: Clock,
@@ -47,35 +47,37 @@
     pub(crate) reactor: flume::Sender<Input>,
     pub(crate) control: Option<flume::Sender<control::Input>>,
     pub(crate) published: watch::Receiver<Published>,
+    /// Whether paths that inject faults are served.
     pub(crate) fault_hook: bool,
-    /// Evacuations.
+    /// Sender of evacuation orders.
     pub(crate) orders: Orders,
-    /// Places for configuration files that are read.
+    /// Limits the configuration files that are received at once.
     pub(crate) files: Semaphore,
 }
 
 impl Parts {
-    /// Places for as many files as are read at once.
-    pub(crate) fn places() -> Semaphore {
-        Semaphore::new(FILES)
+    /// Creates the limit for `files`.
+    pub(crate) fn file_limit() -> Semaphore {
+        Semaphore::new(CONCURRENT_FILES_MAX)
     }
 }
 
-/// A peer, as operators see it.
+/// A process of the fleet, as listed by `/peers`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) struct Peer {
     /// Name of the VM.
     pub vm: Name,
-    /// Incarnation.
+    /// Incarnation of the process, which changes with each start.
     pub incarnation: u64,
-    /// Its operators' address.
+    /// Address of its operators' server.
     pub operators: SocketAddr,
 }
 
+/// A response that is ready to be sent.
 struct Page {
     status: StatusCode,
-    kind: &'static str,
+    content_type: &'static str,
     body: String,
     headers: Vec<(&'static str, String)>,
 }
@@ -89,9 +91,9 @@
     let mut response = Response::new(Full::new(Bytes::from(page.body)));
     *response.status_mut() = page.status;
     let headers = response.headers_mut();
-    headers.insert(CONTENT_TYPE, HeaderValue::from_static(page.kind));
+    headers.insert(CONTENT_TYPE, HeaderValue::from_static(page.content_type));
     for (name, value) in page.headers {
-        // What this process made is a proper value.
+        // Values that this process creates are valid.
         if let Ok(value) = HeaderValue::from_str(&value) {
             headers.insert(HeaderName::from_static(name), value);
         }
@@ -99,10 +101,11 @@
     response
 }
 
+/// Routes one request.
 async fn answer(parts: &Parts, request: Request<Incoming>) -> Page {
     let (head, incoming) = request.into_parts();
     let path = head.uri.path();
-    let query = pairs(head.uri.query().unwrap_or(""));
+    let query = parameters(head.uri.query().unwrap_or(""));
     let published = parts.published.borrow().clone();
     match path {
         "/live" => return text(StatusCode::OK, "live\n"),
@@ -143,28 +146,31 @@
         (&Method::POST, "/unquarantine") => unquarantine(parts, &query).await,
         (&Method::POST, "/fault/cut") if parts.fault_hook => cut(parts, &query),
         (&Method::POST, "/fault/suspend") if parts.fault_hook => suspend(parts, &query),
-        _ => error(StatusCode::NOT_FOUND, "there is nothing here"),
+        _ => error(StatusCode::NOT_FOUND, "no such path"),
     }
 }
 
+/// Whether the request contains the operators' key.
 fn is_operator(parts: &Parts, headers: &HeaderMap) -> bool {
     let header = headers.get(AUTHORIZATION).and_then(|v| v.to_str().ok());
     let key = header.and_then(|h| h.strip_prefix("Bearer "));
     key.is_some_and(|k| Some(Hash::of(&[k.trim().as_bytes()])) == parts.key)
 }
 
+/// State of this process, with that of its control role.
 async fn status(parts: &Parts) -> Page {
-    let Some(mut status) = wait(|reply| parts.reactor.send(Input::Status(reply)).is_ok()).await
+    let Some(mut status) = request(|reply| parts.reactor.send(Input::Status(reply)).is_ok()).await
     else {
         return error(StatusCode::SERVICE_UNAVAILABLE, "the process is ending");
     };
     if let Some(control) = &parts.control {
-        let found = wait(|reply| control.send(control::Input::Status(reply)).is_ok()).await;
+        let found = request(|reply| control.send(control::Input::Status(reply)).is_ok()).await;
         status.control = found.and_then(|s: control::Status| serde_json::to_value(s).ok());
     }
     json(StatusCode::OK, &status)
 }
 
+/// This process and all peers with a link.
 fn peers(parts: &Parts) -> Vec<Peer> {
     let own = parts.hub.hello().clone();
     let all = std::iter::once(own).chain(parts.hub.peers());
@@ -176,7 +182,7 @@
     peers.collect()
 }
 
-/// Numbers of customers and endpoints, by name.
+/// IDs of customers and endpoints, by name.
 fn names(published: &Published) -> serde_json::Value {
     let config = &published.view.config;
     let customers: BTreeMap<&Name, _> = config
@@ -192,6 +198,7 @@
     serde_json::json!({"customers": customers, "endpoints": endpoints})
 }
 
+/// The configuration in force, as the text of a configuration file.
 fn config(published: &Published) -> Page {
     let draft = published.view.config.draft();
     let mut reply = text(StatusCode::OK, &settings::print_configuration(&draft));
@@ -200,6 +207,7 @@
     reply
 }
 
+/// Proposes a changed configuration.
 async fn change(parts: &Parts, query: &BTreeMap<String, String>, text: String) -> Page {
     let id = query
         .get("id")
@@ -216,9 +224,10 @@
         base: Version(base),
         text,
     };
-    accepted(parts, query).await
+    propose(parts, query).await
 }
 
+/// Announces that an endpoint or a VM is leaving, or that an endpoint is back.
 async fn depart(parts: &Parts, query: &BTreeMap<String, String>) -> Page {
     let name = |key: &str| query.get(key).map(|v| Name::try_from(v.as_str()));
     let leaving = match (name("endpoint"), name("endpoint-back"), name("vm")) {
@@ -241,16 +250,16 @@
             )
         }
     };
-    accepted(parts, Query::Depart(leaving)).await
+    propose(parts, Query::Depart(leaving)).await
 }
 
-/// Evacuates a data centre, or ends that.
+/// Evacuates a data centre, or ends its evacuation.
 async fn evacuate(parts: &Parts, query: &BTreeMap<String, String>, is_evacuated: bool) -> Page {
     let data_centre = query.get("data-centre").map_or("", String::as_str);
-    match parts.orders.give(data_centre, is_evacuated).await {
+    match parts.orders.send(data_centre, is_evacuated).await {
         Outcome::Accepted(version) => in_force(version),
         Outcome::Unknown(reason) => error(StatusCode::UNPROCESSABLE_ENTITY, &reason),
-        Outcome::Unsure => unanswered(),
+        Outcome::Unconfirmed => unanswered(),
     }
 }
 
@@ -272,11 +281,12 @@
         cleared: vec![clearance],
         ..Evidence::default()
     };
-    accepted(parts, Query::Suspects(evidence)).await
+    propose(parts, Query::Suspects(evidence)).await
 }
 
-async fn accepted(parts: &Parts, query: Query) -> Page {
-    let reply = wait(|reply| parts.reactor.send(Input::Query(query, reply)).is_ok()).await;
+/// Sends a query to the control VMs, and converts the reply into a response.
+async fn propose(parts: &Parts, query: Query) -> Page {
+    let reply = request(|reply| parts.reactor.send(Input::Query(query, reply)).is_ok()).await;
     match reply {
         Some(Reply::Answer(Answer::Accepted(version))) => in_force(version),
         Some(Reply::Answer(Answer::Conflict(version))) => json(
@@ -291,12 +301,13 @@
         Some(Reply::Invalid(reason)) => error(StatusCode::UNPROCESSABLE_ENTITY, &reason),
         Some(_) => error(
             StatusCode::INTERNAL_SERVER_ERROR,
-            "the control VMs answered something else",
+            "the control VMs sent an unexpected answer",
         ),
         None => unanswered(),
     }
 }
 
+/// Response to a change that is in force.
 fn in_force(version: Version) -> Page {
     json(
         StatusCode::OK,
@@ -304,6 +315,7 @@
     )
 }
 
+/// Response to a change that may or may not have been accepted.
 fn unanswered() -> Page {
     error(
         StatusCode::SERVICE_UNAVAILABLE,
@@ -312,6 +324,7 @@
     )
 }
 
+/// Fault injection: drops all messages to and from some peers.
 fn cut(parts: &Parts, query: &BTreeMap<String, String>) -> Page {
     let list = query.get("peers").map_or("", String::as_str);
     let names: Result<Vec<Name>, String> = list
@@ -329,18 +342,19 @@
     }
 }
 
+/// Fault injection: suspends the clock of this process.
 fn suspend(parts: &Parts, query: &BTreeMap<String, String>) -> Page {
     match query.get("ms").and_then(|ms| ms.parse().ok()) {
         Some(ms) => {
             parts.clock.suspend(ms);
             text(StatusCode::OK, "suspended\n")
         }
-        None => error(StatusCode::BAD_REQUEST, "ms: a number of milliseconds"),
+        None => error(StatusCode::BAD_REQUEST, "give ms: a number of milliseconds"),
     }
 }
 
-/// Asks another part of the process and waits for its answer.
-async fn wait<T, F>(ask: F) -> Option<T>
+/// Sends a question to another part of the process and waits for the answer.
+async fn request<T, F>(ask: F) -> Option<T>
 where
     F: FnOnce(oneshot::Sender<T>) -> bool,
 {
@@ -348,48 +362,58 @@
     if !ask(sender) {
         return None;
     }
-    tokio::time::timeout(ANSWER, receiver).await.ok()?.ok()
+    tokio::time::timeout(ANSWER_TIMEOUT, receiver)
+        .await
+        .ok()?
+        .ok()
 }
 
-/// Reads a configuration file. Only what has arrived is kept, whatever was announced.
+/// Reads a configuration file. Memory is allocated only for bytes that have arrived, whatever
+/// length was announced.
 async fn body(parts: &Parts, incoming: Incoming) -> Result<String, String> {
-    let place = parts.files.acquire().await;
-    let _place = place.map_err(|_| "the process is ending".to_owned())?;
+    let permit = parts.files.acquire().await;
+    let _permit = permit.map_err(|_| "the process is ending".to_owned())?;
     let reading = Limited::new(incoming, BODY_MAX).collect();
-    let read = tokio::time::timeout(BODY_TIME, reading).await;
-    let read = read.map_err(|_| "the configuration took too long to arrive".to_owned())?;
+    let read = tokio::time::timeout(BODY_TIMEOUT, reading).await;
+    let read = read.map_err(|_| "timed out while receiving the configuration".to_owned())?;
     let bytes = read.map_err(|error| {
-        format!("a configuration has at most {BODY_MAX} bytes, or could not be read: {error}")
+        format!(
+            "could not read the configuration, which may have at most {BODY_MAX} bytes: {error}"
+        )
     })?;
     String::from_utf8(bytes.to_bytes().into()).map_err(|error| error.to_string())
 }
 
-fn pairs(query: &str) -> BTreeMap<String, String> {
+/// Parses the parameters of a query string.
+fn parameters(query: &str) -> BTreeMap<String, String> {
     let parts = query.split('&').filter_map(|part| part.split_once('='));
     parts.map(|(k, v)| (k.to_owned(), v.to_owned())).collect()
 }
 
+/// A plain text response.
 fn text(status: StatusCode, body: &str) -> Page {
     Page {
         status,
-        kind: "text/plain; charset=utf-8",
+        content_type: "text/plain; charset=utf-8",
         body: body.to_owned(),
         headers: Vec::new(),
     }
 }
 
+/// A JSON response.
 fn json<T>(status: StatusCode, value: &T) -> Page
 where
     T: Serialize,
 {
     Page {
         status,
-        kind: "application/json",
+        content_type: "application/json",
         body: serde_json::to_string_pretty(value).unwrap_or_default(),
         headers: Vec::new(),
     }
 }
 
+/// A response with an error message.
 fn error(status: StatusCode, reason: &str) -> Page {
     json(status, &serde_json::json!({"error": reason}))
 }
--- a/components/node/src/platform.rs
+++ b/components/node/src/platform.rs
@@ -1,4 +1,5 @@
-//! Follows the platform's list of live and leaving VMs.
+//! Polls the platform's list of live and leaving VMs, and announces its changes to the control
+//! VMs.
 
 use crate::fetch::fetch;
 use crate::input::Input;
@@ -12,14 +13,14 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
 
-/// Longest time for one list.
-const LONGEST: Duration = Duration::from_secs(5);
+/// Timeout for reading the list.
+const LIST_TIMEOUT: Duration = Duration::from_secs(5);
 /// Largest list in bytes.
-const LIST_MAX: usize = 1024 * 1024;
-/// Longest time for a departure to be accepted, before the next list says it again.
-const ACCEPTED: Duration = Duration::from_secs(10);
+const LIST_BYTES_MAX: usize = 1024 * 1024;
+/// Time for a departure to be accepted, after which the next list repeats it.
+const ACCEPT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Follows the list until told to stop.
+/// Polls the list until `stop` is set.
 pub(crate) async fn run(
     platform: Platform,
     reactor: flume::Sender<Input>,
@@ -28,15 +29,15 @@
 ) {
     let mut period = tokio::time::interval(Duration::from_millis(platform.every_ms));
     let mut watch = Watch::default();
-    let mut reachable = true;
+    let mut is_reachable = true;
     loop {
         tokio::select! {
             _ = period.tick() => {}
             () = cancelled(&mut stop) => return,
         }
         let list = read(&platform).await;
-        if list.is_ok() != reachable {
-            reachable = list.is_ok();
+        if list.is_ok() != is_reachable {
+            is_reachable = list.is_ok();
             match &list {
                 Ok(_) => tracing::info!(
                     event = Line::DependencyRegained.as_str(),
@@ -59,14 +60,16 @@
     }
 }
 
+/// Reads the list.
 async fn read(platform: &Platform) -> Result<Vec<Entry>> {
     let step = "read the platform's list";
     let peer = platform.address;
-    let fetched = tokio::time::timeout(LONGEST, fetch(peer, &platform.path, LIST_MAX));
+    let fetched = tokio::time::timeout(LIST_TIMEOUT, fetch(peer, &platform.path, LIST_BYTES_MAX));
     let page = fetched.await.map_err(Error::peer(step, peer))??;
     serde_json::from_slice(&page).map_err(Error::peer(step, peer))
 }
 
+/// Sends a change of an endpoint to the control VMs.
 async fn announce(reactor: &flume::Sender<Input>, view: &View, change: Change) {
     let (id, leaves) = match change {
         Change::Leaves(id) => (id, true),
@@ -89,6 +92,6 @@
     };
     let (sender, receiver) = oneshot::channel();
     let _ = reactor.send(Input::Query(Query::Depart(leaving), sender));
-    // Unanswered, it is said again with the next list that tells it.
-    let _ = tokio::time::timeout(ACCEPTED, receiver).await;
+    // A change that is not answered is repeated after the next list that contains it.
+    let _ = tokio::time::timeout(ACCEPT_TIMEOUT, receiver).await;
 }
--- a/components/node/src/poll.rs
+++ b/components/node/src/poll.rs
@@ -1,4 +1,4 @@
-//! Asks the endpoints that are scheduled here for their load.
+//! Polls the endpoints that are scheduled here for their load reports.
 
 use crate::fetch::fetch;
 use crate::input::{Input, Watched};
@@ -9,14 +9,14 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::JoinSet;
 
-/// Time between two rounds.
-const PERIOD: Duration = Duration::from_secs(1);
-/// Longest time for one report.
-const LONGEST: Duration = Duration::from_millis(800);
+/// Time between two polls of all endpoints.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout for one report.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Largest report in bytes.
-const REPORT_MAX: usize = 4096;
+const REPORT_BYTES_MAX: usize = 4096;
 
-/// A load report.
+/// A load report: the number of running and of waiting requests.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 struct Report {
@@ -24,9 +24,9 @@
     waiting: u32,
 }
 
-/// Asks until told to stop.
+/// Polls until `stop` is set.
 pub(crate) async fn run(reactor: flume::Sender<Input>, mut stop: watch::Receiver<bool>) {
-    let mut period = tokio::time::interval(PERIOD);
+    let mut period = tokio::time::interval(POLL_INTERVAL);
     loop {
         tokio::select! {
             _ = period.tick() => {}
@@ -40,12 +40,12 @@
         let mut round = JoinSet::new();
         for watched in watched {
             round.spawn(async move {
-                let report = tokio::time::timeout(LONGEST, ask(&watched)).await;
+                let report = tokio::time::timeout(REPORT_TIMEOUT, fetch_report(&watched)).await;
                 (watched.endpoint, report)
             });
         }
         while let Some(done) = round.join_next().await {
-            // An endpoint that does not report is judged by its answers alone.
+            // Without a report, an endpoint's load is estimated from its answers alone.
             if let Ok((endpoint, Ok(Ok(report)))) = done {
                 let load = report.running.saturating_add(report.waiting);
                 let _ = reactor.send(Input::Load(endpoint, load));
@@ -54,7 +54,8 @@
     }
 }
 
-async fn ask(watched: &Watched) -> Result<Report> {
-    let body = fetch(watched.address, &watched.path, REPORT_MAX).await?;
+/// Fetches the load report of an endpoint.
+async fn fetch_report(watched: &Watched) -> Result<Report> {
+    let body = fetch(watched.address, &watched.path, REPORT_BYTES_MAX).await?;
     serde_json::from_slice(&body).map_err(Error::peer("ask for load", watched.address))
 }
--- a/components/node/src/process.rs
+++ b/components/node/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of the fleet, from its settings to its end.
+//! One process of the fleet: starts the roles that its settings name, and stops them in order.
 
 use crate::control::{self, Control};
 use crate::evacuation::Orders;
@@ -34,56 +34,60 @@
 use transport::key::Keys;
 use transport::link::{Hub, Socket, Timing};
 
-/// Time between two looks at whether a stop may go on.
-const DRAIN_STEP: Duration = Duration::from_millis(50);
-/// Time for which a router that stops still takes connections.
+/// Time between two checks of whether a drain is complete.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time for which a stopping router still accepts connections.
 ///
-/// Whoever sends callers here asks once a second whether it is ready, and takes
-/// two misses: closed before, callers would be refused that could be served.
+/// Load balancers query its readiness once a second, and stop sending callers after two failed
+/// checks. If the router closed earlier, callers would be refused that another one could serve.
 const LINGER: Duration = Duration::from_millis(2300);
-/// Part of the grace that is kept for closing what is still open.
-const END: Duration = Duration::from_millis(700);
-/// Longest wait for another VM to take over schedulers.
-const HAND_OVER: Duration = Duration::from_secs(3);
+/// Part of the grace period that is reserved for closing connections and links.
+const CLOSE_TIME: Duration = Duration::from_millis(700);
+/// Longest wait for other VMs to take over the schedulers of this one.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Patience for a reading of the platform's list where the settings name none, in
-/// milliseconds.
-const LISTING_MS: u64 = 500;
+/// Time between two reads of the platform's list if the settings do not name it, in milliseconds.
+const DEFAULT_LISTING_INTERVAL_MS: u64 = 500;
 
-/// Addresses that were bound.
+/// Addresses on which a process listens.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// Links.
+    /// For links from other processes.
     pub link: SocketAddr,
-    /// Callers, if this is a router.
+    /// For callers, if this is a router.
     pub callers: Option<SocketAddr>,
-    /// Operators.
+    /// For operators.
     pub operators: SocketAddr,
 }
 
 /// A running process.
 pub struct Process {
     addresses: Addresses,
-    /// Longest time for what is in progress to end after a stop.
+    /// Longest time for requests in progress to end after a stop.
     grace: Duration,
-    /// Whether whoever sends callers here asks for readiness.
-    is_asked: bool,
+    /// Whether a load balancer queries readiness before it sends callers here.
+    has_readiness: bool,
     hub: Hub,
     reactor: flume::Sender<Input>,
     reactor_task: JoinHandle<()>,
+    /// Channel to the control role, and its thread.
     control: Option<(flume::Sender<control::Input>, Thread<()>)>,
+    /// All tasks but the reactor's.
     tasks: Vec<JoinHandle<()>>,
+    /// Set to true to end the tasks.
     stop: watch::Sender<bool>,
     published: watch::Receiver<Published>,
+    /// Why the control role failed, once it has.
     failed: watch::Receiver<Option<String>>,
 }
 
 impl Process {
-    /// Starts what the settings ask for.
+    /// Starts the roles that the settings name.
     ///
     /// # Errors
     ///
-    /// When an address is taken, keys do not fit, or the disk is damaged.
+    /// If an address is in use, a key does not match its certificate, or the state on disk is
+    /// damaged.
     pub async fn start(settings: Settings, interface: Interface) -> Result<Self> {
         let keys = match &settings.link.keys {
             Some(files) => Keys::read(&files.authority, &files.certificate, &files.key)?,
@@ -97,50 +101,50 @@
         Starter::new(settings, interface, socket)?.start().await
     }
 
-    /// Addresses that were bound.
+    /// Addresses on which the process listens.
     pub fn addresses(&self) -> Addresses {
         self.addresses
     }
 
-    /// Where changed settings are told.
+    /// A handle that applies changed settings.
     pub fn reloader(&self) -> Reloader {
         Reloader {
             reactor: self.reactor.clone(),
         }
     }
 
-    /// Whether it is ready to serve.
+    /// Whether the process is ready to serve requests.
     pub fn is_ready(&self) -> bool {
         let published = self.published.borrow();
         published.ready && !published.stopping
     }
 
-    /// Waits until it is told over the feed to stop, or cannot go on.
+    /// Waits until the view asks this process to stop, or until it fails.
     ///
     /// # Errors
     ///
-    /// When the disk has failed.
+    /// If the control role has failed, for example because of its disk.
     pub async fn wait(&mut self) -> Result<()> {
         let keeps_state = self.control.is_some();
         let failed = async {
             match self.failed.wait_for(Option::is_some).await {
                 Ok(reason) => reason.clone().unwrap_or_default(),
                 Err(_) if keeps_state => "the control thread has ended".to_owned(),
-                // Without a control role nobody can report a failure of it.
+                // Without a control role there is none that could fail.
                 Err(_) => std::future::pending().await,
             }
         };
         tokio::select! {
-            // The reactor publishes for as long as this process lives.
+            // The reactor publishes until this process ends.
             _ = self.published.wait_for(|p| p.stopping) => Ok(()),
             reason = failed => Err(Error::Key { step: "keep the durable state", reason }),
         }
     }
 
-    /// Stops: takes nothing new, ends what is in progress, joins everything.
+    /// Stops the process: refuses new requests, waits for those in progress, and joins all tasks.
     pub async fn stop(self) {
         self.drain().await;
-        // Receivers that are gone have stopped already.
+        // Tasks whose receivers are dropped have stopped already.
         let _ = self.stop.send(true);
         for task in self.tasks {
             let _ = task.await;
@@ -154,27 +158,28 @@
         self.hub.stop().await;
     }
 
-    /// Waits until nothing is in progress and schedulers are handed over.
+    /// Waits until no requests are in progress and the schedulers are handed over, or until the
+    /// grace period is nearly over.
     async fn drain(&self) {
         if self.reactor.send(Input::Stop).is_err() {
             return;
         }
-        let began = std::time::Instant::now();
-        let most = self.grace.saturating_sub(END);
-        if self.is_asked {
-            tokio::time::sleep(LINGER.min(most)).await;
+        let started = std::time::Instant::now();
+        let max = self.grace.saturating_sub(CLOSE_TIME);
+        if self.has_readiness {
+            tokio::time::sleep(LINGER.min(max)).await;
         }
         if self.reactor.send(Input::Close).is_err() {
             return;
         }
-        while began.elapsed() < most {
-            tokio::time::sleep(DRAIN_STEP).await;
+        while started.elapsed() < max {
+            tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
             let Some(status) = self.status().await else {
                 return;
             };
             let busy = status.held > 0 || status.waiting.values().any(|n| *n > 0);
             let assigned = !status.schedulers.is_empty() && !status.peers.is_empty();
-            let handing_over = assigned && began.elapsed() < HAND_OVER;
+            let handing_over = assigned && started.elapsed() < HANDOVER_TIMEOUT;
             if !(busy || handing_over) {
                 return;
             }
@@ -182,6 +187,7 @@
         tracing::warn!(event = Line::DrainIncomplete.as_str(), grace_ms = ?self.grace.as_millis());
     }
 
+    /// State of the process, unless the reactor has ended.
     async fn status(&self) -> Option<Status> {
         let (sender, receiver) = oneshot::channel();
         self.reactor.send(Input::Status(sender)).ok()?;
@@ -189,23 +195,23 @@
     }
 }
 
-/// Takes changed settings of a running process.
+/// Applies changed settings to a running process.
 #[derive(Clone)]
 pub struct Reloader {
     reactor: flume::Sender<Input>,
 }
 
 impl Reloader {
-    /// Follows what can change while a process runs: where control VMs are found.
-    /// All else takes a restart.
+    /// Applies the settings that can change while a process runs: the places of control VMs. All
+    /// others need a restart.
     pub fn apply(&self, settings: &Settings) {
         let seeds = settings.peers.places().to_vec();
-        // A process that is ending needs no seeds.
+        // If the reactor has ended, the process is stopping.
         let _ = self.reactor.send(Input::Seeds(seeds));
     }
 }
 
-/// What a process needs while it starts.
+/// Dependencies of a process while it starts.
 struct Starter {
     settings: Settings,
     interface: Interface,
@@ -236,7 +242,8 @@
         })
     }
 
-    /// Control VMs, with this one's own port where the settings left it open.
+    /// Control VMs named in the settings, with the bound port of this VM if the settings left it
+    /// open.
     fn seeds(&self) -> Vec<Place> {
         let mut seeds: Vec<Place> = self.settings.peers.places().to_vec();
         for seed in &mut seeds {
@@ -247,7 +254,7 @@
         seeds
     }
 
-    /// What this router may take on, of what its VM has and operators allow.
+    /// Limits of this router, from the resources of its VM and the settings.
     fn budget(settings: &Settings) -> Budget {
         let named = settings.vm.descriptors.unwrap_or(u64::MAX);
         let limit = transport::descriptor::limit().unwrap_or(u64::MAX);
@@ -267,8 +274,9 @@
         Arc::new(named.chain(own).collect())
     }
 
-    /// Starts what is served on addresses of their own.
-    async fn start_sides(
+    /// Starts the servers for readiness and releases, and the reader of the platform's list, if
+    /// the settings name them.
+    async fn start_optional(
         settings: &Settings,
         interface: Interface,
         ready: &readiness::Parts,
@@ -300,6 +308,7 @@
         Ok(tasks)
     }
 
+    /// Starts all roles and tasks.
     async fn start(self) -> Result<Process> {
         let seeds = self.seeds();
         let listener = match &self.settings.callers {
@@ -309,13 +318,13 @@
         let callers = listener.as_ref().and_then(|l| l.local_addr().ok());
         let (reactor, inputs) = flume::unbounded();
         let (publish, published) = watch::channel(Arc::new(Shared::default()));
-        let (publish_verdicts, verdicts) = watch::channel(Arc::default());
+        let (publish_suspicions, verdicts) = watch::channel(Arc::default());
         let (stop, stopped) = watch::channel(false);
         let (fail, failed) = watch::channel(None);
         let (to_control, control_inputs) = flume::unbounded();
         let to_control = self.settings.control.as_ref().map(|_| to_control);
 
-        // The hub's greeting carries the operators' address: it is bound first.
+        // The hub's greeting contains the operators' address, which is therefore bound first.
         let step = "bind the operators' address";
         let operators_listener = bind(step, self.settings.operators.listen).await?;
         let operators_address = operators_listener.local_addr().map_err(Error::file(
@@ -342,7 +351,7 @@
             published: published.clone(),
             fault_hook: self.settings.fault.hook,
             orders: orders(),
-            files: OperatorParts::places(),
+            files: OperatorParts::file_limit(),
         });
         let answer = move |request| operators::respond(operator_parts.clone(), request);
         let operators = http::serve(operators_listener, answer, stopped.clone());
@@ -374,7 +383,7 @@
             _ => None,
         };
         let lateness = Lateness::default();
-        let (inquiries, unknown) = flume::unbounded();
+        let (inquiries, inquiry_receiver) = flume::unbounded();
         let parts = ReactorParts {
             hub: hub.clone(),
             inquiries: self.interface.inventory.map(|_| inquiries),
@@ -382,7 +391,8 @@
             journal: self.journal.clone(),
             metrics: self.metrics.clone(),
             seeds,
-            listing_ms: (self.settings.listing.as_ref()).map_or(LISTING_MS, |l| l.every_ms),
+            listing_ms: (self.settings.listing.as_ref())
+                .map_or(DEFAULT_LISTING_INTERVAL_MS, |l| l.every_ms),
             home: Home {
                 region: self.settings.vm.region.clone(),
                 data_centre: self.settings.vm.data_centre.clone(),
@@ -396,12 +406,12 @@
                 Some(control) => control.fanout,
                 None => self.settings.router.fanout,
             },
-            control: self.settings.control.is_some(),
-            scheduler: self.settings.scheduler,
-            callers: self.settings.callers.is_some(),
+            is_control: self.settings.control.is_some(),
+            may_schedule: self.settings.scheduler,
+            serves_callers: self.settings.callers.is_some(),
             to_control: to_control.clone(),
             publish,
-            verdicts: publish_verdicts,
+            suspicions: publish_suspicions,
         };
         let ready = readiness::Parts {
             published: published.clone(),
@@ -415,7 +425,7 @@
             tokio::spawn(forward(events, reactor.clone(), stopped.clone())),
         ];
         tasks.extend(
-            Starter::start_sides(
+            Starter::start_optional(
                 &self.settings,
                 self.interface,
                 &ready,
@@ -440,8 +450,13 @@
         if self.settings.scheduler {
             tasks.push(tokio::spawn(poll::run(reactor.clone(), stopped.clone())));
             if let Some(inventory) = self.interface.inventory {
-                let asking = inventory::run(inventory, unknown, reactor.clone(), stopped.clone());
-                tasks.push(tokio::spawn(asking));
+                let queries = inventory::run(
+                    inventory,
+                    inquiry_receiver,
+                    reactor.clone(),
+                    stopped.clone(),
+                );
+                tasks.push(tokio::spawn(queries));
             }
         }
         if let Some(platform) = &self.settings.platform {
@@ -494,7 +509,7 @@
         Ok(Process {
             addresses,
             grace: Duration::from_millis(self.settings.vm.grace_ms),
-            is_asked: self.settings.readiness.is_some(),
+            has_readiness: self.settings.readiness.is_some(),
             hub,
             reactor,
             reactor_task,
@@ -507,24 +522,26 @@
     }
 }
 
-/// Who may become a control VM.
+/// Rule for which VMs may become control VMs.
 fn admission(peers: &Peers, control: &settings::Control) -> Admission {
     match peers {
         Peers::Named(_) => Admission::Seeds,
         Peers::Seeds(seeds) => Admission::Open {
             begins: control.begins,
-            // Seeds are three at most, where more may be lost than three voters bear.
+            // There are at most three seeds, but a fleet may need more than three voters to
+            // survive the losses that it should.
             voters: seeds.len().max(control.voters()),
         },
     }
 }
 
-/// Callers' connections that the system keeps until they are accepted: a router accepts as
-/// many within a fifth of a second also while it closes most unread. From a longer queue it
-/// would take connections whose callers have given up.
-const BACKLOG: u32 = 256;
+/// Largest number of callers' connections that the kernel queues until they are accepted.
+///
+/// A router accepts this many within 200 ms, even while it closes most of them unread. From a
+/// longer queue it would accept connections whose callers have given up.
+const ACCEPT_BACKLOG: u32 = 256;
 
-/// Listens for callers.
+/// Listens for callers with a bounded accept queue.
 fn listen(step: &'static str, address: SocketAddr) -> Result<TcpListener> {
     let listen = || {
         let socket = match address {
@@ -533,17 +550,18 @@
         };
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
-        socket.listen(BACKLOG)
+        socket.listen(ACCEPT_BACKLOG)
     };
     listen().map_err(Error::file(step, address.to_string()))
 }
 
+/// Listens on an address with the default accept queue.
 async fn bind(step: &'static str, address: SocketAddr) -> Result<TcpListener> {
     let bound = TcpListener::bind(address).await;
     bound.map_err(Error::file(step, address.to_string()))
 }
 
-/// Passes what the links report to the reactor.
+/// Forwards events of the links to the reactor.
 async fn forward(
     events: flume::Receiver<transport::link::Event>,
     reactor: flume::Sender<Input>,
--- a/components/node/src/quarantine.rs
+++ b/components/node/src/quarantine.rs
@@ -1,5 +1,5 @@
-//! Requests that may crash endpoints: what this process reports of them to the control VMs,
-//! and what its callers' side is to do with them.
+//! Requests that may crash endpoints: reports about them to the control VMs, and whether this
+//! process refuses them.
 
 use crate::query::Queries;
 use protocol::wire::{Message, Query, Reply};
@@ -14,16 +14,16 @@
 use transport::clock::wall_micros;
 use transport::link::Hub;
 
-/// Crashes, and clearances, that wait to be reported.
+/// Largest number of crashes, and of clearances, that wait to be reported.
 const PENDING_MAX: usize = 512;
-/// Crashes, and clearances, of one report.
+/// Largest number of crashes, and of clearances, in one report.
 const REPORT_MAX: usize = 64;
 /// Time between two reports, in milliseconds.
-const REPORT_MS: u64 = 50;
-/// Time between two looks for own suspicions that have lasted long enough, in milliseconds.
-const EXPIRE_MS: u64 = 5000;
+const REPORT_INTERVAL_MS: u64 = 50;
+/// Time between two checks for expired suspicions of this process, in milliseconds.
+const EXPIRE_INTERVAL_MS: u64 = 5000;
 
-/// What the callers' side is to do with requests, by the fleet and by this router alone.
+/// Requests that are suspected or quarantined by the whole fleet, or by this process alone.
 #[derive(Debug, Default)]
 pub(crate) struct Suspicions {
     fleet: Standings,
@@ -31,66 +31,72 @@
 }
 
 impl Suspicions {
-    /// Whether every request is to be served like any other.
+    /// Whether no request is suspected.
     pub(crate) fn is_empty(&self) -> bool {
         self.fleet.is_empty() && self.own.is_empty()
     }
 
-    /// Whether a whole answer to this request is of interest.
+    /// Whether a request is suspected or quarantined, so that a complete answer to it has to be
+    /// reported.
     pub(crate) fn contains(&self, fingerprint: &Fingerprint) -> bool {
         self.fleet.contains_key(fingerprint) || self.own.contains_key(fingerprint)
     }
 
-    /// Whether a request is to be refused.
+    /// Whether a request has to be refused.
     pub(crate) fn is_quarantined(&self, fingerprint: &Fingerprint) -> bool {
-        let of = [&self.fleet, &self.own];
-        let mut found = of.iter().filter_map(|all| all.get(fingerprint));
+        let both = [&self.fleet, &self.own];
+        let mut found = both.iter().filter_map(|all| all.get(fingerprint));
         found.any(|standing| *standing == Standing::Quarantined)
     }
 }
 
-/// Whom a process reports to: over the links by which it learns the view, since hundreds of
-/// routers that opened links to the control VMs at each crash would overload these.
-pub(crate) enum Up<'a> {
-    /// It is a control VM, and asks the leader.
+/// Next hop of reports on their way to the control VMs.
+///
+/// Reports use the links over which the view arrives: if hundreds of routers opened links to the
+/// control VMs at each crash, they would overload these.
+pub(crate) enum Uplink<'a> {
+    /// This process is a control VM and sends reports to the leader.
     Control(&'a mut Queries, &'a Hub),
-    /// The node that feeds it.
+    /// The parent, which sends this process the view.
     Parent(&'a Name, &'a Hub),
-    /// Nobody feeds it now.
-    Nobody,
+    /// This process has no parent at the moment.
+    None,
 }
 
-/// What this process knows of such requests.
+/// Suspicions that are known to this process, and reports that it has yet to send.
 ///
-/// Its own suspicions count beside the fleet's: a router that has no control VM to ask still
-/// stops what it has itself seen crash endpoints.
+/// Its own suspicions apply in addition to the fleet's, so that a router without a connection to
+/// the control VMs still refuses requests that it has itself seen crash endpoints.
 pub(crate) struct Quarantine {
+    /// Suspicions from crashes that this process has seen.
     own: Suspects,
+    /// Suspicions that the control VMs have put in force.
     fleet: Standings,
-    /// What is to be reported, also of those that this process feeds.
+    /// Evidence to report, from this process and its children.
     pending: Evidence,
-    report_at: Millis,
+    next_report_at: Millis,
+    /// The reply to the last report to the leader.
     report: Option<oneshot::Receiver<Reply>>,
-    expire_at: Millis,
+    next_expire_at: Millis,
     publish: watch::Sender<Arc<Suspicions>>,
 }
 
 impl Quarantine {
-    /// Nothing is suspected yet.
+    /// Creates an empty quarantine that publishes its suspicions to `publish`.
     pub(crate) fn new(publish: watch::Sender<Arc<Suspicions>>) -> Self {
         Quarantine {
             own: Suspects::default(),
             fleet: Standings::new(),
             pending: Evidence::default(),
-            report_at: Millis(0),
+            next_report_at: Millis(0),
             report: None,
-            expire_at: Millis(0),
+            next_expire_at: Millis(0),
             publish,
         }
     }
 
-    /// An endpoint broke off a request.
-    pub(crate) fn crashed(&mut self, crash: Crash) {
+    /// Handles a crash: an endpoint closed its connection during a request.
+    pub(crate) fn handle_crash(&mut self, crash: Crash) {
         self.own.crashed(&crash);
         let crashes = vec![crash];
         self.relay(Evidence {
@@ -100,8 +106,8 @@
         self.publish();
     }
 
-    /// An endpoint has answered a suspected request whole.
-    pub(crate) fn cleared(&mut self, clearance: Clearance) {
+    /// Handles a clearance: an endpoint has answered a suspected request completely.
+    pub(crate) fn handle_clearance(&mut self, clearance: Clearance) {
         self.own.cleared(&clearance);
         let is_other = |c: &Clearance| c.fingerprint != clearance.fingerprint;
         self.pending.cleared.retain(is_other);
@@ -113,12 +119,12 @@
         self.publish();
     }
 
-    /// Takes what others have seen, to be passed on.
+    /// Queues evidence, also that of children, to be reported.
     pub(crate) fn relay(&mut self, evidence: Evidence) {
         self.pending.add(evidence, PENDING_MAX);
     }
 
-    /// Follows what the control VMs have decided.
+    /// Applies the suspicions that the control VMs have put in force.
     pub(crate) fn follow(&mut self, fleet: &Standings) {
         if *fleet == self.fleet {
             return;
@@ -130,31 +136,31 @@
         self.publish();
     }
 
-    /// Lets time pass: ends old suspicions, and reports what waits for it.
-    pub(crate) fn tick(&mut self, now: Millis, up: Up<'_>) {
-        if now >= self.expire_at {
-            self.expire_at = now.after(EXPIRE_MS);
+    /// Ends expired suspicions and sends the next report if it is due.
+    pub(crate) fn tick(&mut self, now: Millis, uplink: Uplink<'_>) {
+        if now >= self.next_expire_at {
+            self.next_expire_at = now.after(EXPIRE_INTERVAL_MS);
             self.own.expire(wall_micros());
             self.publish();
         }
-        if self.pending.is_empty() || now < self.report_at {
+        if self.pending.is_empty() || now < self.next_report_at {
             return;
         }
-        self.report_at = now.after(REPORT_MS);
-        match up {
-            Up::Control(queries, hub) => self.ask(now, queries, hub),
-            Up::Parent(parent, hub) => {
+        self.next_report_at = now.after(REPORT_INTERVAL_MS);
+        match uplink {
+            Uplink::Control(queries, hub) => self.report_to_leader(now, queries, hub),
+            Uplink::Parent(parent, hub) => {
                 let evidence = self.pending.take(REPORT_MAX);
                 if !hub.send(parent, Message::Evidence(evidence.clone())) {
                     self.relay(evidence);
                 }
             }
-            Up::Nobody => {}
+            Uplink::None => {}
         }
     }
 
-    /// Reports to the leader, one report at a time.
-    fn ask(&mut self, now: Millis, queries: &mut Queries, hub: &Hub) {
+    /// Sends a report to the leader unless the last one is still unanswered.
+    fn report_to_leader(&mut self, now: Millis, queries: &mut Queries, hub: &Hub) {
         if let Some(report) = &mut self.report {
             if matches!(report.try_recv(), Err(oneshot::error::TryRecvError::Empty)) {
                 return;
@@ -166,32 +172,33 @@
         queries.ask(now, hub, Query::Suspects(evidence), sender);
     }
 
-    /// Fingerprints of requests that are refused here.
+    /// Fingerprints of requests that this process refuses.
     pub(crate) fn quarantined(&self) -> Vec<String> {
-        let verdicts = self.publish.borrow();
-        let known = verdicts.fleet.keys().chain(verdicts.own.keys());
-        let refused: BTreeSet<_> = known.filter(|f| verdicts.is_quarantined(f)).collect();
+        let suspicions = self.publish.borrow();
+        let known = suspicions.fleet.keys().chain(suspicions.own.keys());
+        let refused: BTreeSet<_> = known.filter(|f| suspicions.is_quarantined(f)).collect();
         refused.into_iter().map(Fingerprint::to_string).collect()
     }
 
+    /// Publishes the suspicions and logs quarantines that begin or end.
     fn publish(&self) {
-        let verdicts = Suspicions {
+        let suspicions = Suspicions {
             fleet: self.fleet.clone(),
             own: self.own.standings(1),
         };
         self.publish.send_if_modified(|published| {
-            let is_same = published.fleet == verdicts.fleet && published.own == verdicts.own;
+            let is_same = published.fleet == suspicions.fleet && published.own == suspicions.own;
             if !is_same {
-                tell(published, &verdicts);
-                *published = Arc::new(verdicts);
+                log_changes(published, &suspicions);
+                *published = Arc::new(suspicions);
             }
             !is_same
         });
     }
 }
 
-/// Logs which requests are refused from now on, and which no longer.
-fn tell(old: &Suspicions, new: &Suspicions) {
+/// Logs quarantines that begin or end.
+fn log_changes(old: &Suspicions, new: &Suspicions) {
     let known = new.fleet.keys().chain(new.own.keys());
     let begun = known.filter(|f| new.is_quarantined(f) && !old.is_quarantined(f));
     for fingerprint in begun {
--- a/components/node/src/query.rs
+++ b/components/node/src/query.rs
@@ -1,4 +1,4 @@
-//! Queries to the control VMs, sent again until one that leads answers.
+//! Queries to the control VMs, repeated until the leader answers.
 
 use protocol::wire::{Message, Query, Reply};
 use state::clock::Millis;
@@ -8,54 +8,60 @@
 use tokio::sync::oneshot;
 use transport::link::Hub;
 
-/// Time without an answer after which the next control VM is asked, in
-/// milliseconds.
-const AGAIN_MS: u64 = 400;
-/// Pause before the next try when nobody is known to lead, in milliseconds.
-const PAUSE_MS: u64 = 50;
-/// Time without queries after which links to control VMs are closed, in
-/// milliseconds. A router of a large fleet needs them seldom.
-const KEEP_MS: u64 = 30_000;
+/// Time without an answer after which the next control VM is asked, in milliseconds.
+const ANSWER_TIMEOUT_MS: u64 = 400;
+/// Pause before the next attempt if no leader is known, in milliseconds.
+const NO_LEADER_PAUSE_MS: u64 = 50;
+/// Time without queries after which links to control VMs are closed, in milliseconds. Routers need
+/// them rarely, and in a large fleet idle links would cost the control VMs too much.
+const LINK_IDLE_MS: u64 = 30_000;
 
+/// A query without an answer.
 struct Open {
     query: Query,
     answer: oneshot::Sender<Reply>,
-    sent: Option<Millis>,
-    /// When to send it, again or for the first time.
-    due: Millis,
+    /// When the query was last sent.
+    sent_at: Option<Millis>,
+    /// When to send the query next.
+    due_at: Millis,
 }
 
-/// Queries that wait for an answer.
+/// Queries without an answer, and the control VM that they are sent to.
 pub(crate) struct Queries {
+    /// Control VMs.
     seeds: Vec<Place>,
+    /// Queries by ID.
     open: BTreeMap<u64, Open>,
-    next: u64,
+    next_id: u64,
+    /// Index of the control VM in `seeds` that is asked.
     target: usize,
-    used: Millis,
-    /// When the next one was last chosen since none could be reached.
-    turned: Millis,
-    dialed: bool,
-    /// Whether links to control VMs are always kept.
-    keep: bool,
+    /// When there last was a query.
+    last_used_at: Millis,
+    /// When the next target was last chosen because no control VM had a link.
+    rotated_at: Millis,
+    /// Whether queries have opened links that are not idle yet.
+    is_dialed: bool,
+    /// Whether links to control VMs are kept even if idle.
+    keeps_links: bool,
 }
 
 impl Queries {
-    /// No queries yet.
-    pub(crate) fn new(seeds: Vec<Place>, first: usize, keep: bool) -> Self {
+    /// Creates an empty set of queries. `first` chooses the control VM that is asked first.
+    pub(crate) fn new(seeds: Vec<Place>, first: usize, keeps_links: bool) -> Self {
         let target = first % seeds.len().max(1);
         Queries {
             seeds,
             open: BTreeMap::new(),
-            next: 0,
+            next_id: 0,
             target,
-            used: Millis(0),
-            turned: Millis(0),
-            dialed: false,
-            keep,
+            last_used_at: Millis(0),
+            rotated_at: Millis(0),
+            is_dialed: false,
+            keeps_links,
         }
     }
 
-    /// Changes the control VMs that are asked.
+    /// Replaces the control VMs that are asked.
     pub(crate) fn set_seeds(&mut self, seeds: Vec<Place>) {
         let asked = self.seeds.get(self.target).cloned();
         self.target = asked
@@ -64,8 +70,8 @@
         self.seeds = seeds;
     }
 
-    /// Sends a query; the answer goes to `answer`, however long it takes. A
-    /// receiver that is dropped ends the query.
+    /// Sends a query. The reply goes to `answer`, however long it takes; dropping the receiver
+    /// cancels the query.
     pub(crate) fn ask(
         &mut self,
         now: Millis,
@@ -73,95 +79,98 @@
         query: Query,
         answer: oneshot::Sender<Reply>,
     ) {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         let open = Open {
             query,
             answer,
-            sent: None,
-            due: now,
+            sent_at: None,
+            due_at: now,
         };
         self.open.insert(id, open);
         self.send(now, hub);
     }
 
-    /// Takes an answer.
-    pub(crate) fn reply(&mut self, now: Millis, hub: &Hub, id: u64, reply: Reply) {
+    /// Handles a reply.
+    pub(crate) fn handle_reply(&mut self, now: Millis, hub: &Hub, id: u64, reply: Reply) {
         if let Reply::NotLeader(leader) = reply {
             let known = leader.and_then(|l| self.seeds.iter().position(|s| *s == l));
-            let asked_now = known == Some(self.target);
+            let names_itself = known == Some(self.target);
             self.target = known.unwrap_or(self.target + 1) % self.seeds.len().max(1);
             let is_linked = |n: usize| self.seeds.get(n).is_some_and(|s| hub.is_up(&s.vm));
-            // A VM that names itself, nobody, or one without a link is asked again a little
-            // later.
-            let soon = !asked_now && known.is_some_and(is_linked);
+            // If the VM names itself, no leader, or a leader without a link here, the query is sent
+            // again after a pause.
+            let is_reachable = !names_itself && known.is_some_and(is_linked);
             if let Some(open) = self.open.get_mut(&id) {
-                open.sent = None;
-                open.due = now.after(if soon { 0 } else { PAUSE_MS });
+                open.sent_at = None;
+                open.due_at = now.after(if is_reachable { 0 } else { NO_LEADER_PAUSE_MS });
             }
             self.send(now, hub);
             return;
         }
         if let Some(open) = self.open.remove(&id) {
-            // Whoever asked may have gone.
+            // The receiver may have been dropped.
             let _ = open.answer.send(reply);
         }
     }
 
-    /// Lets time pass.
+    /// Repeats queries after a timeout, and lets idle links be closed.
     pub(crate) fn tick(&mut self, now: Millis, hub: &Hub) {
         self.open.retain(|_, open| !open.answer.is_closed());
-        let late = |o: &Open| o.sent.is_some() && now >= o.due;
-        if self.open.values().any(late) {
+        let is_late = |o: &Open| o.sent_at.is_some() && now >= o.due_at;
+        if self.open.values().any(is_late) {
             self.target = (self.target + 1) % self.seeds.len().max(1);
         }
         self.send(now, hub);
-        if self.open.is_empty() && now.since(self.used) > KEEP_MS {
-            self.dialed = false;
+        if self.open.is_empty() && now.since(self.last_used_at) > LINK_IDLE_MS {
+            self.is_dialed = false;
         }
     }
 
-    /// Whether a VM's link is kept for queries.
+    /// Whether the link to a VM is needed for queries.
     pub(crate) fn needs(&self, vm: &Name) -> bool {
-        (self.dialed || self.keep) && self.seeds.iter().any(|s| s.vm == *vm)
+        (self.is_dialed || self.keeps_links) && self.seeds.iter().any(|s| s.vm == *vm)
     }
 
-    /// Chooses the next control VM if the link to one takes long. Opened to all of them by all
-    /// routers, links would keep control VMs busy with handshakes.
-    fn turn(&mut self, now: Millis) {
-        if now.since(self.turned) >= AGAIN_MS {
-            self.turned = now;
+    /// Chooses the next control VM if no link comes up in time.
+    ///
+    /// Links are opened one after the other: if all routers opened links to all control VMs at
+    /// once, these would be busy with handshakes.
+    fn rotate(&mut self, now: Millis) {
+        if now.since(self.rotated_at) >= ANSWER_TIMEOUT_MS {
+            self.rotated_at = now;
             self.target = (self.target + 1) % self.seeds.len().max(1);
         }
     }
 
+    /// Sends the queries that are due to the target, or else to the next control VM with a link.
     fn send(&mut self, now: Millis, hub: &Hub) {
         if self.open.is_empty() {
             return;
         }
-        self.used = now;
-        self.dialed = true;
+        self.last_used_at = now;
+        self.is_dialed = true;
         if let Some(seed) = self.seeds.get(self.target) {
             hub.dial(seed);
         }
-        // A seed without a link is passed over while another has one.
+        // Control VMs without a link are skipped while another one has a link.
         let count = self.seeds.len();
         let up = (0..count)
             .map(|i| (self.target + i) % count)
             .find(|i| hub.is_up(&self.seeds[*i].vm));
         let Some(up) = up else {
-            self.turn(now);
+            self.rotate(now);
             return;
         };
         self.target = up;
         let vm = &self.seeds[up].vm;
         for (id, open) in &mut self.open {
-            if now < open.due {
+            if now < open.due_at {
                 continue;
             }
             if hub.send(vm, Message::Query(*id, open.query.clone())) {
-                open.sent = Some(now);
-                open.due = now.after(AGAIN_MS);
+                open.sent_at = Some(now);
+                open.due_at = now.after(ANSWER_TIMEOUT_MS);
             }
         }
     }
--- a/components/node/src/reactor/dependency.rs
+++ b/components/node/src/reactor/dependency.rs
@@ -1,5 +1,5 @@
-//! Log lines for what a router depends on: who tells it the configuration, and who
-//! schedules its requests.
+//! Log lines about what a router depends on: the parent that sends it the configuration, and the
+//! schedulers of its requests.
 
 use super::Reactor;
 use state::clock::Millis;
@@ -8,25 +8,26 @@
 use state::view::Shard;
 use std::collections::BTreeMap;
 
-/// The scheduler of a shard: its VM, in its epoch.
+/// The scheduler of a shard: its VM and epoch.
 type Peer = (Name, Epoch);
 
-/// What was told last.
+/// Dependencies as they were last logged.
 #[derive(Debug, Default)]
-pub(super) struct Told {
-    feed: Option<Name>,
-    /// Who schedules each shard for this router; nobody but itself if it lost its own.
+pub(super) struct Logged {
+    /// Parent that sends the configuration.
+    parent: Option<Name>,
+    /// Scheduler of each shard; `None` while this router cannot reach it and schedules alone.
     schedulers: BTreeMap<Shard, Option<Peer>>,
 }
 
 impl Reactor {
-    /// Logs what was lost or regained since the last call.
-    pub(super) fn tell_dependencies(&mut self, now: Millis) {
-        self.tell_feed(now);
+    /// Logs dependencies that were lost or regained since the last call.
+    pub(super) fn log_dependencies(&mut self, now: Millis) {
+        self.log_parent(now);
         let shards = self.dispatcher.shards();
         let schedulers: BTreeMap<Shard, Option<Peer>> = shards
             .map(|(shard, up)| {
-                let assignment = self.live.assignment(shard).filter(|_| up);
+                let assignment = self.effective.assignment(shard).filter(|_| up);
                 (
                     shard.clone(),
                     assignment.map(|a| (a.place.vm.clone(), a.epoch)),
@@ -34,11 +35,11 @@
             })
             .collect();
         for (shard, peer) in &schedulers {
-            let before = self.told.schedulers.get(shard).cloned().flatten();
+            let before = self.logged.schedulers.get(shard).cloned().flatten();
             if before == *peer {
                 continue;
             }
-            let service = self.live.config.service_name(shard.service);
+            let service = self.effective.config.service_name(shard.service);
             let dependency = "scheduler";
             match (peer, before) {
                 (Some((vm, epoch)), _) => {
@@ -52,25 +53,25 @@
                 (None, None) => {}
             }
         }
-        self.told.schedulers = schedulers;
+        self.logged.schedulers = schedulers;
     }
 
-    fn tell_feed(&mut self, now: Millis) {
-        let feed = self.dissemination.parent().cloned();
-        if feed == self.told.feed {
+    fn log_parent(&mut self, now: Millis) {
+        let parent = self.dissemination.parent().cloned();
+        if parent == self.logged.parent {
             return;
         }
         let dependency = "configuration";
         let version = self.view.version.0;
-        let proof_ms = self.dissemination.proof().map(|at| now.since(at));
-        if let Some(peer) = &feed {
+        let proof_ms = self.dissemination.verified_at().map(|at| now.since(at));
+        if let Some(peer) = &parent {
             let (event, peer) = (Line::DependencyRegained.as_str(), peer.as_str());
             tracing::info!(event, dependency, peer, version, proof_ms);
         } else {
             let event = Line::DependencyLost.as_str();
-            let peer = self.told.feed.as_ref().map_or("", Name::as_str);
+            let peer = self.logged.parent.as_ref().map_or("", Name::as_str);
             tracing::warn!(event, dependency, peer, version, proof_ms);
         }
-        self.told.feed = feed;
+        self.logged.parent = parent;
     }
 }
--- a/components/node/src/reactor/listing.rs
+++ b/components/node/src/reactor/listing.rs
@@ -1,4 +1,4 @@
-//! The platform's list of endpoints: whose turn it is, and passing news of it on.
+//! The platform's list of endpoints: when this process reads it, and how changes are propagated.
 
 use super::Reactor;
 use crate::input::Reading;
@@ -8,29 +8,32 @@
 use state::id::Name;
 use state::line::Line;
 
-/// Endpoints that one log line names at most.
-const NAMED: usize = 12;
+/// Largest number of endpoints that are named in a log line.
+const NAMES_MAX: usize = 12;
 
 impl Reactor {
-    /// Whether this process is to read the platform's list now.
+    /// Whether this process should read the platform's list now.
     pub(super) fn is_listing_due(&self, now: Millis) -> bool {
-        let reader = if self.leads {
+        let reader = if self.is_leader {
             Reader::Leader
-        } else if self.parts.control {
-            let is_led = self.is_led;
+        } else if self.parts.is_control {
+            let is_led = self.has_leader;
             Reader::Control { is_led }
         } else {
-            Reader::Router(self.dissemination.size())
+            Reader::Router(self.dissemination.routers())
         };
-        let lot = self.parts.hub.hello().incarnation;
-        let patience = self.roster.patience_ms(reader, self.parts.listing_ms, lot);
-        patience.is_some_and(|ms| self.roster.is_due(now, ms))
+        let seed = self.parts.hub.hello().incarnation;
+        let timeout_ms = self.roster.patience_ms(reader, self.parts.listing_ms, seed);
+        timeout_ms.is_some_and(|ms| self.roster.is_due(now, ms))
     }
 
-    /// Takes what this process has read of the list.
-    pub(super) fn take_reading(&mut self, now: Millis, reading: Reading) {
-        // Another process has read it meanwhile: this reading began before its news came.
-        if self.listing_heard.is_some_and(|at| at > reading.began) {
+    /// Handles the result of a read of the list by this process.
+    pub(super) fn handle_reading(&mut self, now: Millis, reading: Reading) {
+        // An update from another process arrived after this read began and may be newer.
+        if self
+            .listing_received_at
+            .is_some_and(|at| at > reading.began)
+        {
             return;
         }
         let draw = rand::random();
@@ -38,78 +41,79 @@
             true => self.roster.read(now, reading.endpoints, draw),
             false => self.roster.read_part(now, reading.endpoints, draw),
         };
-        self.listed(now, changed, None);
+        self.propagate_listing(now, changed, None);
     }
 
-    /// Takes news of the list from another process.
-    pub(super) fn take_listing(&mut self, now: Millis, vm: &Name, message: Message) {
-        let news = match message {
+    /// Handles an update of the list from another process.
+    pub(super) fn handle_listing(&mut self, now: Millis, vm: &Name, message: Message) {
+        let changed = match message {
             Message::Listing(listing) => Some(self.roster.take(now, *listing)),
             Message::Census(census) => Some(self.roster.take_census(now, *census)),
             Message::ListingChange(change) => self.roster.follow(now, &change),
             Message::ListingKept(id) => self.roster.confirm(now, id).then_some(false),
             _ => return,
         };
-        let Some(is_news) = news else {
+        let Some(changed) = changed else {
             self.parts.hub.send(vm, Message::ListingWanted);
             return;
         };
-        self.listing_heard = Some(now);
-        self.listed(now, is_news, Some(vm));
+        self.listing_received_at = Some(now);
+        self.propagate_listing(now, changed, Some(vm));
     }
 
-    /// Follows and passes on a reading of the platform's list.
-    fn listed(&mut self, now: Millis, changed: bool, from: Option<&Name>) {
+    /// Applies an update of the list and passes it on: from a control VM to the other members,
+    /// if this process read it, and always to children.
+    fn propagate_listing(&mut self, now: Millis, changed: bool, from: Option<&Name>) {
         if changed {
-            self.tell_endpoints(from);
+            self.log_endpoints(from);
             self.catalogue.follow(now, self.roster.change());
-            self.follow_live(now);
+            self.update_effective_view(now);
         }
         let is_other = |vm: &&Name| Some(*vm) != from && **vm != self.me;
-        let whole = || match changed {
+        let update = || match changed {
             true => Message::ListingChange(Box::new(self.roster.told_change(now))),
             false => Message::ListingKept(self.roster.listing().id),
         };
-        if from.is_none() && self.parts.control {
-            let news = whole();
+        if from.is_none() && self.parts.is_control {
+            let message = update();
             for vm in self.members.iter().map(|p| &p.vm).filter(is_other) {
-                self.parts.hub.send(vm, news.clone());
+                self.parts.hub.send(vm, message.clone());
             }
         }
-        let news = match self.roster.census() {
-            None => whole(),
-            Some(census) if census.id == self.told_census => Message::ListingKept(census.id),
+        let message = match self.roster.census() {
+            None => update(),
+            Some(census) if census.id == self.sent_census => Message::ListingKept(census.id),
             Some(census) => Message::Census(Box::new(census.clone())),
         };
-        self.told_census = self.roster.census().map_or(0, |census| census.id);
+        self.sent_census = self.roster.census().map_or(0, |census| census.id);
         for vm in self.dissemination.children().filter(is_other) {
-            self.parts.hub.send(vm, news.clone());
+            self.parts.hub.send(vm, message.clone());
         }
     }
 
-    /// Logs which endpoints have come, leave or have gone.
-    fn tell_endpoints(&self, from: Option<&Name>) {
+    /// Logs which endpoints were added, are draining or were removed.
+    fn log_endpoints(&self, from: Option<&Name>) {
         let change = self.roster.change();
-        let names = |leaving: bool| {
+        let names_of = |leaving: bool| {
             let found = change.set.iter().filter(|l| l.leaving == leaving);
-            joined(found.map(|l| &l.endpoint.name))
+            join_names(found.map(|l| &l.endpoint.name))
         };
         let census = self.roster.census();
         let counts = census.map(|c| c.counts.iter().map(|count| count.all).sum());
-        // CAST: endpoints are far below 2^32.
+        // CAST: a fleet has far fewer than 2^32 endpoints.
         let held = self.roster.listing().endpoints.len() as u32;
         tracing::info!(
             event = Line::EndpointsChanged.as_str(),
             listing = self.roster.listing().id,
             endpoints = counts.unwrap_or(held),
-            come = names(false),
-            leave = names(true),
-            gone = joined(change.gone.iter()),
+            come = names_of(false),
+            leave = names_of(true),
+            gone = join_names(change.gone.iter()),
             from = from.map_or("", Name::as_str),
         );
     }
 
-    /// Tells a node that is fed from here, or a control VM, what is known of the list.
+    /// Sends the known list, or its census, to a child or a control VM.
     pub(super) fn send_listing(&self, now: Millis, vm: &Name) {
         let is_member = self.members.iter().any(|p| p.vm == *vm);
         let message = match self.roster.census() {
@@ -121,11 +125,11 @@
     }
 }
 
-/// The first few names, for a log line.
-fn joined<'a, N>(names: N) -> String
+/// Joins the first [`NAMES_MAX`] names for a log line.
+fn join_names<'a, N>(names: N) -> String
 where
     N: Iterator<Item = &'a Name>,
 {
-    let names: Vec<&str> = names.take(NAMED).map(Name::as_str).collect();
+    let names: Vec<&str> = names.take(NAMES_MAX).map(Name::as_str).collect();
     names.join(",")
 }
