--- a/components/node/src/reactor/mod.rs
+++ b/components/node/src/reactor/mod.rs
@@ -1,18 +1,20 @@
-//! The reactor: one task that owns the router's and schedulers' decisions.
+//! The reactor: a single task that owns all router and scheduler state.
+//!
+//! Every decision is made here, one input at a time, so that none of this state needs a lock.
 
 mod dependency;
 mod listing;
 mod peers;
 mod show;
 
-use self::dependency::Told;
+use self::dependency::Logged;
 use crate::batch::Batch;
 use crate::dissemination::Dissemination;
 use crate::input::{Decision, Dispatch, Input};
-use crate::inventory::Unknown;
+use crate::inventory::Inquiry;
 use crate::journal::Journal;
 use crate::metric::Metrics;
-use crate::quarantine::{Quarantine, Suspicions, Up};
+use crate::quarantine::{Quarantine, Suspicions, Uplink};
 use crate::query::Queries;
 use crate::schedulers::Schedulers;
 use crate::shared::Published;
@@ -37,125 +39,145 @@
 use transport::clock::{wall_micros, Clock};
 use transport::link::{self, Hub};
 
-/// Time between two ticks.
-const TICK: Duration = Duration::from_millis(20);
-/// Inputs taken in one round before messages are sent.
-const ROUND: usize = 256;
-/// Time between two tellings of what engines have come to keep, in milliseconds.
-const TELL_KEPT_MS: u64 = 200;
+/// Time between two ticks, which drive all timeouts.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Largest number of inputs that are handled before the messages they caused are sent.
+const MAX_INPUTS_PER_ROUND: usize = 256;
+/// Time between two messages to other schedulers about newly cached prompts, in milliseconds.
+const KEPT_INTERVAL_MS: u64 = 200;
 /// Time between two updates of the gauges, in milliseconds.
-const MEASURE_MS: u64 = 1000;
+const MEASURE_INTERVAL_MS: u64 = 1000;
 
-/// What a reactor is given.
+/// Dependencies and settings of a reactor.
 pub(crate) struct Parts {
-    /// Links.
+    /// Links to other processes.
     pub(crate) hub: Hub,
-    /// Clock.
+    /// Clock of this process.
     pub(crate) clock: Clock,
-    /// Time line.
+    /// Recorder of time-line events.
     pub(crate) journal: Journal,
-    /// Metrics.
+    /// Metrics of this process.
     pub(crate) metrics: Metrics,
-    /// Control VMs that the settings name.
+    /// Control VMs named in the settings.
     pub(crate) seeds: Vec<Place>,
-    /// Time between two readings of the platform's list of endpoints, in
-    /// milliseconds.
+    /// Time between two reads of the platform's list of endpoints, in milliseconds.
     pub(crate) listing_ms: u64,
-    /// Where this VM stands.
+    /// Region, data centre and incarnation of this VM.
     pub(crate) home: Home,
-    /// Bounds of the dispatcher.
+    /// Limits on queued requests and their bytes.
     pub(crate) bounds: Bounds,
-    /// Children to feed.
+    /// Largest number of child nodes that receive the configuration from this one.
     pub(crate) fanout: usize,
     /// Whether this is a control VM.
-    pub(crate) control: bool,
-    /// Whether this VM may schedule.
-    pub(crate) scheduler: bool,
-    /// Whether callers come to this VM.
-    pub(crate) callers: bool,
-    /// Where the control role takes its messages, if it is here.
+    pub(crate) is_control: bool,
+    /// Whether this VM may run schedulers.
+    pub(crate) may_schedule: bool,
+    /// Whether this VM is a router that accepts callers.
+    pub(crate) serves_callers: bool,
+    /// Channel to the control role, if this process runs it.
     pub(crate) to_control: Option<flume::Sender<crate::control::Input>>,
-    /// Where to ask engines what they have kept, if they can tell.
-    pub(crate) inquiries: Option<flume::Sender<Unknown>>,
-    /// Where to publish.
+    /// Channel for queries of an engine's prompt cache, if engines can list it.
+    pub(crate) inquiries: Option<flume::Sender<Inquiry>>,
+    /// Publishes the state that the rest of this process reads.
     pub(crate) publish: watch::Sender<Published>,
-    /// Where to publish what is done with requests that may crash endpoints.
-    pub(crate) verdicts: watch::Sender<Arc<Suspicions>>,
+    /// Publishes which requests are suspected of crashing endpoints.
+    pub(crate) suspicions: watch::Sender<Arc<Suspicions>>,
 }
 
-/// The reactor.
+/// State of the router, of the schedulers that run here and of the dissemination of the view.
 pub(crate) struct Reactor {
     parts: Parts,
+    /// Name of this VM.
     me: Name,
-    /// What the control VMs have put in force.
+    /// The view that the control VMs have put in force.
     view: View,
-    /// That and the platform's endpoints, with its look-ups: what decides.
-    live: Arc<View>,
+    /// The view combined with the platform's endpoints. All decisions are based on it.
+    effective: Arc<View>,
+    /// Look-up tables of the configuration.
     index: Arc<Index>,
+    /// The platform's list of endpoints.
     roster: Roster,
-    /// When another process told of the list last.
-    listing_heard: Option<Millis>,
-    /// Number of the counts that children were told last.
-    told_census: u64,
-    /// Endpoints by shard, for schedulers that ask.
+    /// When another process last sent an update of the list.
+    listing_received_at: Option<Millis>,
+    /// ID of the census that was last sent to children.
+    sent_census: u64,
+    /// Endpoints by shard, to answer schedulers that ask for those of their shard.
     catalogue: Catalogue,
-    /// Endpoints of the shards that are scheduled here.
+    /// Endpoints of the shards that are scheduled here, where no process knows the whole list.
     cells: Cells,
-    /// Endpoints that this router was granted of late.
+    /// Endpoints that schedulers recently granted to this router.
     recent: Recent,
-    /// Whether `live` has some of these.
-    is_recent_used: bool,
-    /// Shards that have endpoints.
+    /// Whether `effective` includes endpoints of `recent`.
+    uses_recent: bool,
+    /// Number of shards that have endpoints.
     shards: usize,
-    /// Data centres whose evacuation has ended.
+    /// Data centres that recently returned from an evacuation.
     returns: Returns,
-    /// Control VMs as the control role of this process knows them.
+    /// Members of the replicated log, as reported by the control role of this process.
     members: Vec<Place>,
-    leads: bool,
-    /// Whether the control role here follows a living leader.
-    is_led: bool,
-    proving: Option<(Millis, oneshot::Receiver<Reply>)>,
+    /// Whether the control role of this process is the leader.
+    is_leader: bool,
+    /// Whether the control role of this process follows a live leader.
+    has_leader: bool,
+    /// The query for a proof that the view is the newest, and when it was sent.
+    pending_proof: Option<(Millis, oneshot::Receiver<Reply>)>,
+    /// Requests of this router, and its sessions with schedulers.
     dispatcher: Dispatcher,
     schedulers: Schedulers,
     dissemination: Dissemination,
+    /// Queries to the control VMs.
     queries: Queries,
     quarantine: Quarantine,
+    /// Messages to send at the end of the round.
     batch: Batch,
+    /// Senders of the decisions that requests wait for.
     decisions: HashMap<Handle, oneshot::Sender<Decision>>,
-    /// When the newest version was asked for, before this process is ready.
-    head: Option<(Millis, oneshot::Receiver<Reply>)>,
-    needed: Option<Version>,
+    /// The query for the newest version, and when it was sent; used until this process is ready.
+    pending_head: Option<(Millis, oneshot::Receiver<Reply>)>,
+    /// Version that this process must reach before it is ready.
+    required_version: Option<Version>,
     /// When this process started.
     started: Millis,
-    /// Since when it has a parent, before it is ready.
-    fed_at: Option<Millis>,
+    /// Since when this process has had a parent; used until it is ready.
+    parent_since: Option<Millis>,
+    /// Whether the view is current enough to serve requests.
     ready: bool,
+    /// Whether this process is stopping.
     stopping: bool,
+    /// Whether new requests are refused because this process is about to end.
     closed: bool,
-    schedulers_dialed: BTreeSet<Name>,
-    regions_dialed: BTreeSet<Name>,
+    /// VMs of the schedulers that this router has links to.
+    dialed_schedulers: BTreeSet<Name>,
+    /// VMs of the schedulers in other regions that those here have links to.
+    dialed_regions: BTreeSet<Name>,
+    /// Decides whether this VM is a candidate for schedulers.
     candidacy: Candidacy,
-    /// Whether this VM stands as a candidate for schedulers.
+    /// Whether this VM offers itself to the leader as a host for schedulers.
     is_candidate: bool,
     /// Whether a shard has no scheduler.
     is_unassigned: bool,
-    beat_at: Millis,
-    measure_at: Millis,
-    tell_kept_at: Millis,
-    told: Told,
-    /// Whether new callers are to go to other routers, since this VM schedules for many.
+    /// When the next heartbeat to the control VMs is due.
+    next_heartbeat_at: Millis,
+    /// When the next update of the gauges is due.
+    next_measure_at: Millis,
+    /// When the next message about newly cached prompts is due.
+    next_kept_at: Millis,
+    /// Dependencies as they were last logged.
+    logged: Logged,
+    /// Whether new callers should use other routers, because this VM schedules for many.
     dedicated: bool,
-    /// Data centres that were evacuated when it was last logged.
+    /// Evacuated data centres as they were last logged.
     evacuated: BTreeSet<Name>,
+    /// Whether the published state is out of date.
     dirty: bool,
 }
 
 impl Reactor {
-    /// A reactor without a view.
+    /// Creates a reactor with an empty view.
     pub(crate) fn new(parts: Parts) -> Self {
         let hello = parts.hub.hello().clone();
         let me = hello.place.vm.clone();
-        // CAST: any number will do to spread processes over the seeds.
+        // CAST: truncation is harmless; the number only spreads processes over the seeds.
         let spread = hello.incarnation as usize;
         let seeds = parts.seeds.clone();
         let now = parts.clock.now();
@@ -174,44 +196,44 @@
                 seeds.clone(),
                 spread,
                 parts.fanout,
-                parts.control,
+                parts.is_control,
             ),
-            queries: Queries::new(seeds, spread, parts.control),
-            quarantine: Quarantine::new(parts.verdicts.clone()),
+            queries: Queries::new(seeds, spread, parts.is_control),
+            quarantine: Quarantine::new(parts.suspicions.clone()),
             view: View::default(),
-            live: Arc::default(),
+            effective: Arc::default(),
             index: Arc::default(),
             roster: Roster::default(),
-            listing_heard: None,
-            told_census: 0,
+            listing_received_at: None,
+            sent_census: 0,
             catalogue: Catalogue::new(hello.incarnation),
             cells: Cells::default(),
             recent: Recent::default(),
-            is_recent_used: false,
+            uses_recent: false,
             shards: 0,
             returns: Returns::default(),
             members: Vec::new(),
-            leads: false,
-            is_led: false,
-            proving: None,
+            is_leader: false,
+            has_leader: false,
+            pending_proof: None,
             batch: Batch::default(),
             decisions: HashMap::new(),
-            head: None,
-            needed: None,
+            pending_head: None,
+            required_version: None,
             started: now,
-            fed_at: None,
+            parent_since: None,
             ready: false,
             stopping: false,
             closed: false,
-            schedulers_dialed: BTreeSet::new(),
-            regions_dialed: BTreeSet::new(),
+            dialed_schedulers: BTreeSet::new(),
+            dialed_regions: BTreeSet::new(),
             candidacy: Candidacy::new(hello.incarnation),
             is_candidate: false,
             is_unassigned: false,
-            beat_at: now,
-            measure_at: now,
-            tell_kept_at: now,
-            told: Told::default(),
+            next_heartbeat_at: now,
+            next_measure_at: now,
+            next_kept_at: now,
+            logged: Logged::default(),
             dedicated: false,
             evacuated: BTreeSet::new(),
             dirty: true,
@@ -220,26 +242,26 @@
         }
     }
 
-    /// Runs until all senders of inputs are gone.
+    /// Runs until [`Input::End`], or until all senders of inputs are dropped.
     pub(crate) async fn run(mut self, inputs: flume::Receiver<Input>) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        if self.parts.control {
+        if self.parts.is_control {
             self.dial_control();
         }
         loop {
             tokio::select! {
                 input = inputs.recv_async() => match input {
                     Ok(Input::End) | Err(_) => return,
-                    Ok(input) => self.input(input),
+                    Ok(input) => self.handle_input(input),
                 },
                 _ = ticks.tick() => self.tick(),
             }
-            for input in inputs.try_iter().take(ROUND) {
+            for input in inputs.try_iter().take(MAX_INPUTS_PER_ROUND) {
                 if matches!(input, Input::End) {
                     return;
                 }
-                self.input(input);
+                self.handle_input(input);
             }
             let now = self.now();
             self.schedulers.flush(now, &mut self.batch);
@@ -254,96 +276,100 @@
         self.parts.clock.now()
     }
 
-    fn input(&mut self, input: Input) {
+    /// Handles one input.
+    fn handle_input(&mut self, input: Input) {
         let now = self.now();
         match input {
-            Input::Link(event) => self.link(now, event),
+            Input::Link(event) => self.handle_link(now, event),
             Input::Arrive(arrival, reply) => {
-                let answer = match self.dispatcher.arrive(now, &self.live, arrival) {
+                let answer = match self.dispatcher.arrive(now, &self.effective, arrival) {
                     Ok((handle, effects)) => {
                         let (sender, decided) = oneshot::channel();
                         self.decisions.insert(handle, sender);
-                        self.act(now, effects);
+                        self.perform(now, effects);
                         Ok((handle, decided))
                     }
                     Err(full) => Err(full),
                 };
-                // A caller that has gone drops the receiver, and its guard the handle.
+                // The caller has disconnected and dropped the receiver: no guard holds the
+                // handle, so the request leaves the queue here.
                 if let Err(Ok((handle, _))) = reply.send(answer) {
-                    self.leave(now, handle);
+                    self.cancel(now, handle);
                 }
             }
-            Input::Cancel(handle) => self.leave(now, handle),
+            Input::Cancel(handle) => self.cancel(now, handle),
             Input::Requeue(handle, verdict, reply) => {
                 self.parts.metrics.retries.inc();
                 let (sender, decided) = oneshot::channel();
                 self.decisions.insert(handle, sender);
                 let effects = self.dispatcher.again(now, handle, verdict);
-                self.act(now, effects);
+                self.perform(now, effects);
                 if reply.send(decided).is_err() {
-                    self.leave(now, handle);
+                    self.cancel(now, handle);
                 }
             }
             Input::FirstByte(handle, took_ms) => {
                 let effects = self.dispatcher.began(now, handle, took_ms);
-                self.act(now, effects);
+                self.perform(now, effects);
             }
             Input::Progress(handle, cost) => {
                 let effects = self.dispatcher.progress(now, handle, cost);
-                self.act(now, effects);
+                self.perform(now, effects);
             }
             Input::Done(handle, cost, verdict) => {
                 self.decisions.remove(&handle);
                 let effects = self.dispatcher.done(now, handle, cost, verdict);
-                self.act(now, effects);
+                self.perform(now, effects);
             }
-            Input::Backoff(handle, backoff) => self.backoff(now, handle, backoff),
-            Input::Crashed(crash) => self.quarantine.crashed(crash),
-            Input::Cleared(clearance) => self.quarantine.cleared(clearance),
+            Input::Backoff(handle, backoff) => self.handle_backoff(now, handle, backoff),
+            Input::Crashed(crash) => self.quarantine.handle_crash(crash),
+            Input::Cleared(clearance) => self.quarantine.handle_clearance(clearance),
             Input::Query(query, answer) => self.queries.ask(now, &self.parts.hub, query, answer),
-            Input::Load(endpoint, load) => self.schedulers.load(now, endpoint, load),
-            Input::Applied(steps) => self.steps(now, None, &steps),
-            Input::Restored(view) => self.whole(now, *view),
+            Input::Load(endpoint, load) => self.schedulers.handle_load(now, endpoint, load),
+            Input::Applied(steps) => self.apply_steps(now, None, &steps),
+            Input::Restored(view) => self.replace_view(now, *view),
             Input::Fresh(fresh) => {
-                self.is_led = fresh;
-                self.dissemination.fresh(now, &self.parts.hub, fresh);
+                self.has_leader = fresh;
+                self.dissemination.set_fresh(now, &self.parts.hub, fresh);
                 self.dirty = true;
             }
-            Input::Leads(leads) => self.leads = leads,
+            Input::Leadership(leads) => self.is_leader = leads,
             Input::Members(members) => {
                 self.members = members;
-                self.follow_control();
+                self.update_control_places();
             }
             Input::Seeds(seeds) => {
                 self.parts.seeds.clone_from(&seeds);
-                self.to_control(crate::control::Input::Seeds(seeds));
-                self.follow_control();
+                self.send_to_control(crate::control::Input::Seeds(seeds));
+                self.update_control_places();
             }
             Input::ListingDue(reply) => {
-                // Whoever asked may have gone.
+                // The receiver may have been dropped.
                 let _ = reply.send(self.is_listing_due(now).then_some(now));
             }
-            Input::ListingRead(reading) => self.take_reading(now, reading),
-            // Whoever asked may have gone.
+            Input::ListingRead(reading) => self.handle_reading(now, reading),
+            // The receiver may have been dropped.
             Input::Status(reply) => drop(reply.send(self.status())),
-            Input::Inventory(endpoint, told) => {
+            Input::Inventory(endpoint, contents) => {
                 let batch = &mut self.batch;
-                self.schedulers.learn(now, endpoint, &told, batch);
+                self.schedulers
+                    .handle_contents(now, endpoint, &contents, batch);
             }
-            // Whoever asked may have gone.
-            Input::Watched(reply) => drop(reply.send(self.watched())),
+            // The receiver may have been dropped.
+            Input::Watched(reply) => drop(reply.send(self.watched_endpoints())),
             Input::Stop => self.stop(),
             Input::Close => {
                 tracing::info!(event = Line::Closed.as_str());
                 self.closed = true;
                 self.dirty = true;
             }
-            // The loop has ended already.
+            // `run` returns before it gets here.
             Input::End => {}
         }
     }
 
-    fn backoff(&mut self, now: Millis, handle: Handle, backoff: Backoff) {
+    /// Applies an endpoint's announcement that it wants no more requests, and logs it if new.
+    fn handle_backoff(&mut self, now: Millis, handle: Handle, backoff: Backoff) {
         let (is_news, effects) = self.dispatcher.backoff(now, handle, backoff);
         if is_news {
             let endpoint = self.endpoint(backoff.endpoint);
@@ -354,25 +380,27 @@
                 is_leaving = backoff.is_leaving,
             );
         }
-        self.act(now, effects);
+        self.perform(now, effects);
     }
 
-    fn leave(&mut self, now: Millis, handle: Handle) {
+    /// Removes a request whose caller has disconnected.
+    fn cancel(&mut self, now: Millis, handle: Handle) {
         self.decisions.remove(&handle);
         let effects = self.dispatcher.leave(now, handle);
-        self.act(now, effects);
+        self.perform(now, effects);
     }
 
-    fn link(&mut self, now: Millis, event: link::Event) {
+    /// Handles an event of a link.
+    fn handle_link(&mut self, now: Millis, event: link::Event) {
         match event {
             link::Event::Up(hello) => {
                 let vm = &hello.place.vm;
                 self.parts.journal.note(Event::new(Step::LinkUp).peer(vm));
                 self.dissemination
                     .link_up(&self.parts.hub, vm, self.view.version);
-                self.to_control(crate::control::Input::Up(hello.clone()));
+                self.send_to_control(crate::control::Input::Up(hello.clone()));
                 let effects = self.dispatcher.link_up(now, vm);
-                self.act(now, effects);
+                self.perform(now, effects);
             }
             link::Event::Down(vm) => {
                 self.parts
@@ -381,53 +409,55 @@
                 self.dissemination.link_down(now, &vm);
                 self.schedulers.link_down(now, &vm);
                 self.dispatcher.link_down(now, &vm);
-                self.follow_recent(now);
-                self.to_control(crate::control::Input::Down(vm));
+                self.refresh_recent(now);
+                self.send_to_control(crate::control::Input::Down(vm));
             }
-            link::Event::Message(vm, message) => self.message(now, vm, message),
+            link::Event::Message(vm, message) => self.handle_message(now, vm, message),
         }
     }
 
-    fn message(&mut self, now: Millis, vm: Name, message: Message) {
+    /// Handles a message from another VM.
+    fn handle_message(&mut self, now: Millis, vm: Name, message: Message) {
         match message {
             Message::Hello(_) => {}
             Message::Agree(_) | Message::Beat { .. } | Message::Query(..) => {
-                self.to_control(crate::control::Input::Message(vm, message));
+                self.send_to_control(crate::control::Input::Message(vm, message));
             }
-            Message::Reply(id, reply) => self.queries.reply(now, &self.parts.hub, id, reply),
+            Message::Reply(id, reply) => self.queries.handle_reply(now, &self.parts.hub, id, reply),
             Message::Subscribe(version) => {
                 let hub = &self.parts.hub;
                 let peer = hub.peers().into_iter().find(|p| p.place.vm == vm);
                 let is_new = peer.is_some_and(|peer| {
                     self.dissemination
-                        .subscribe(now, hub, peer, &self.view, version)
+                        .handle_subscribe(now, hub, peer, &self.view, version)
                 });
-                // One that was sent on is told by whoever takes it in: sent at each step, the
-                // list would be most of what a fleet that starts again has to carry.
+                // A node that was redirected gets the list from its eventual parent. If every
+                // node that it asks on the way sent it too, the list would be most of the
+                // traffic while a fleet restarts.
                 if is_new {
                     self.send_listing(now, &vm);
                 }
             }
-            Message::Unsubscribe => self.dissemination.unsubscribe(&vm),
+            Message::Unsubscribe => self.dissemination.handle_unsubscribe(&vm),
             Message::Elsewhere(place) => {
                 self.dissemination
-                    .elsewhere(now, &self.parts.hub, &vm, place);
+                    .handle_redirect(now, &self.parts.hub, &vm, place);
             }
             Message::Pulse(head) => {
-                self.dissemination.fed(now, &vm);
+                self.dissemination.mark_received(now, &vm);
                 self.dissemination
-                    .pulsed(now, &self.parts.hub, &vm, &self.view, head);
+                    .handle_pulse(now, &self.parts.hub, &vm, &self.view, head);
                 self.dirty = true;
             }
             Message::Steps(steps) => {
-                self.dissemination.fed(now, &vm);
-                self.steps(now, Some(&vm), &steps);
+                self.dissemination.mark_received(now, &vm);
+                self.apply_steps(now, Some(&vm), &steps);
             }
             Message::Whole(view) => {
-                self.dissemination.fed(now, &vm);
-                self.whole(now, *view);
+                self.dissemination.mark_received(now, &vm);
+                self.replace_view(now, *view);
             }
-            Message::Confirm(confirm) => self.dissemination.confirm(&vm, confirm),
+            Message::Confirm(confirm) => self.dissemination.handle_confirm(&vm, confirm),
             Message::Evidence(seen) => self.quarantine.relay(seen),
             Message::Reports(epoch, reports) => {
                 let known = self
@@ -440,27 +470,27 @@
             Message::Grants(grants) => {
                 for grant in grants {
                     let effects = self.dispatcher.grant(now, grant);
-                    self.act(now, effects);
+                    self.perform(now, effects);
                 }
             }
             Message::Refusals(refusals) => {
                 for refusal in refusals {
                     let effects = self.dispatcher.refuse(now, refusal);
-                    self.act(now, effects);
+                    self.perform(now, effects);
                 }
             }
-            Message::Kept(kept) => self.schedulers.hear_kept(&self.live, &vm, &kept),
-            Message::Served(served) => self.schedulers.hear_served(&self.live, &served),
+            Message::Kept(kept) => self.schedulers.handle_kept(&self.effective, &vm, &kept),
+            Message::Served(served) => self.schedulers.handle_served(&self.effective, &served),
             Message::Unassigned(epoch) => self.dispatcher.unassigned(now, epoch),
             Message::Listing(_)
             | Message::ListingChange(_)
             | Message::ListingKept(_)
-            | Message::Census(_) => self.take_listing(now, &vm, message),
+            | Message::Census(_) => self.handle_listing(now, &vm, message),
             Message::ListingWanted => self.send_listing(now, &vm),
-            Message::CellWanted(shard, known) => self.tell_cell(now, &vm, shard, known),
+            Message::CellWanted(shard, known) => self.answer_cell_request(now, &vm, shard, known),
             Message::Cell(shard, answer) => {
                 if self.cells.take(now, &shard, *answer) {
-                    self.follow_live(now);
+                    self.update_effective_view(now);
                 }
             }
             Message::Introductions(all) => {
@@ -468,44 +498,48 @@
                     self.recent.note(now, id, endpoint);
                 }
             }
-            Message::Subtree(routers) => self.dissemination.take_subtree(&vm, routers),
-            Message::Size(routers) => self.dissemination.take_size(&self.parts.hub, routers),
-            Message::Check(sent) => self.check(now, &vm, sent),
+            Message::Subtree(routers) => self.dissemination.handle_subtree(&vm, routers),
+            Message::Size(routers) => self.dissemination.handle_size(&self.parts.hub, routers),
+            Message::Check(sent) => self.answer_check(now, &vm, sent),
             Message::Checked { sent, age_ms, head } => {
                 let at = Millis(sent.saturating_sub(age_ms));
-                self.dissemination.checked(&vm, at, head, self.view.version);
+                self.dissemination
+                    .handle_checked(&vm, at, head, self.view.version);
                 self.dirty = true;
             }
         }
     }
 
-    fn to_control(&self, input: crate::control::Input) {
+    /// Sends an input to the control role, if this process runs it.
+    fn send_to_control(&self, input: crate::control::Input) {
         if let Some(sender) = &self.parts.to_control {
             // The control thread ends only together with this process.
             let _ = sender.send(input);
         }
     }
 
-    fn steps(&mut self, now: Millis, from: Option<&Name>, steps: &[state::view::Step]) {
+    /// Applies steps to the view, from a VM or from the control role of this process.
+    fn apply_steps(&mut self, now: Millis, from: Option<&Name>, steps: &[state::view::Step]) {
         if self
             .dissemination
-            .steps(&mut self.view, &self.parts.hub, from, steps)
+            .apply_steps(&mut self.view, &self.parts.hub, from, steps)
         {
-            self.in_force(now);
+            self.on_new_version(now);
         }
     }
 
-    fn whole(&mut self, now: Millis, view: View) {
+    /// Replaces the view if the new one is newer.
+    fn replace_view(&mut self, now: Millis, view: View) {
         if self
             .dissemination
-            .whole(&mut self.view, &self.parts.hub, view)
+            .replace_view(&mut self.view, &self.parts.hub, view)
         {
-            self.in_force(now);
+            self.on_new_version(now);
         }
     }
 
-    /// Brings a new version into force in all parts.
-    fn in_force(&mut self, now: Millis) {
+    /// Propagates a new version of the view to all parts of the reactor.
+    fn on_new_version(&mut self, now: Millis) {
         let version = self.view.version;
         self.index = Arc::new(Index::from(&self.view.config));
         self.parts
@@ -518,73 +552,77 @@
             rules = self.view.config.rules.len(),
             customers = self.view.config.customers.len(),
         );
-        self.dissemination.reached(version);
+        self.dissemination.on_new_version(version);
         self.quarantine.follow(&self.view.suspects);
-        self.tell_evacuations();
-        self.follow_live(now);
-        self.follow_control();
-        let told = self.view.stopping.get(&self.me);
-        if told == Some(&self.parts.hub.hello().incarnation) {
+        self.log_evacuations();
+        self.update_effective_view(now);
+        self.update_control_places();
+        let stopping = self.view.stopping.get(&self.me);
+        if stopping == Some(&self.parts.hub.hello().incarnation) {
             self.stop();
         }
     }
 
-    /// The view with the endpoints that this process knows: all of a short list; of a long one
-    /// those of the shards that are scheduled here and, while a scheduler is lost, those that
-    /// it has granted of late.
-    fn live_view(&mut self, now: Millis) -> View {
+    /// Builds the view with the endpoints that this process knows.
+    ///
+    /// If the platform's list is short, these are all endpoints. If it is long, these are the
+    /// endpoints of shards that are scheduled here and, while a scheduler is unreachable, those
+    /// that it recently granted.
+    fn build_effective_view(&mut self, now: Millis) -> View {
         let Some(census) = self.roster.census() else {
-            let mut live = self.view.with_listing(self.roster.listing());
-            live.warm_at = self.roster.warm_at().clone();
-            return live;
+            let mut view = self.view.with_listing(self.roster.listing());
+            view.warm_at = self.roster.warm_at().clone();
+            return view;
         };
-        let mut live = self.view.clone();
-        live.set_census(census);
+        let mut view = self.view.clone();
+        view.set_census(census);
         for roster in self.cells.rosters() {
-            live.add_listing(roster.listing());
-            live.warm_at.extend(roster.warm_at());
+            view.add_listing(roster.listing());
+            view.warm_at.extend(roster.warm_at());
         }
-        self.is_recent_used = self.dispatcher.shards().any(|(_, is_up)| !is_up);
-        if self.is_recent_used {
+        self.uses_recent = self.dispatcher.shards().any(|(_, is_up)| !is_up);
+        if self.uses_recent {
             for (id, endpoint) in self.recent.usable(now) {
-                let entry = live.config.endpoints.entry(id);
+                let entry = view.config.endpoints.entry(id);
                 entry.or_insert_with(|| endpoint.clone());
             }
         }
-        live
+        view
     }
 
-    /// Uses endpoints that were granted of late while a scheduler is lost, and forgets them
-    /// in time.
-    fn follow_recent(&mut self, now: Millis) {
+    /// Adds recently granted endpoints while a scheduler is unreachable, and drops those that
+    /// have expired.
+    fn refresh_recent(&mut self, now: Millis) {
         let is_lost = self.dispatcher.shards().any(|(_, is_up)| !is_up);
-        if self.live.is_partial() && (is_lost || self.is_recent_used) {
-            self.follow_live(now);
+        if self.effective.is_partial() && (is_lost || self.uses_recent) {
+            self.update_effective_view(now);
         }
     }
 
-    /// Follows a change of the view or of the platform's endpoints.
-    fn follow_live(&mut self, now: Millis) {
-        let mut live = self.live_view(now);
-        self.returns.follow(now, wall_micros(), &mut live);
-        self.live = Arc::new(live);
-        self.schedulers.follow(now, &self.live, &mut self.batch);
-        let effects = self.dispatcher.follow(now, &self.live);
-        self.act(now, effects);
-        if self.parts.callers {
-            self.dispatcher.open_near(now, &self.live);
+    /// Applies a change of the view or of the platform's endpoints.
+    fn update_effective_view(&mut self, now: Millis) {
+        let mut effective = self.build_effective_view(now);
+        self.returns.follow(now, wall_micros(), &mut effective);
+        self.effective = Arc::new(effective);
+        self.schedulers
+            .follow(now, &self.effective, &mut self.batch);
+        let effects = self.dispatcher.follow(now, &self.effective);
+        self.perform(now, effects);
+        if self.parts.serves_callers {
+            self.dispatcher.open_near(now, &self.effective);
         }
-        let shards = coordination::assignment::shards(&self.live);
+        let shards = coordination::assignment::shards(&self.effective);
         self.shards = shards.len();
-        let mine = self.live.assignments.iter();
-        let mine = mine.filter(|a| a.place.vm == self.me && shards.contains(&a.shard));
-        self.cells.follow(mine.map(|a| a.shard.clone()));
-        let is_assigned = |shard| self.live.assignment(shard).is_some();
+        let own = self.effective.assignments.iter();
+        let own = own.filter(|a| a.place.vm == self.me && shards.contains(&a.shard));
+        self.cells.follow(own.map(|a| a.shard.clone()));
+        let is_assigned = |shard| self.effective.assignment(shard).is_some();
         self.is_unassigned = !shards.iter().all(is_assigned);
-        self.to_control(crate::control::Input::Shards(shards));
+        self.send_to_control(crate::control::Input::Shards(shards));
         self.dirty = true;
     }
 
+    /// Begins a stop: readiness fails, and heartbeats end.
     fn stop(&mut self) {
         if !self.stopping {
             tracing::info!(
@@ -597,30 +635,31 @@
         }
     }
 
-    fn act(&mut self, now: Millis, effects: Effects) {
+    /// Performs the effects of a decision of the dispatcher.
+    fn perform(&mut self, now: Millis, effects: Effects) {
         for effect in effects {
             match effect {
                 Effect::Report(assignment, report) => {
-                    self.reach(&assignment);
+                    self.dial_scheduler(&assignment);
                     self.batch
                         .report(&assignment.place.vm, assignment.epoch, report);
                 }
                 Effect::Dispatch(handle, endpoint) => self.dispatch(now, handle, endpoint),
                 Effect::Refuse(handle, refusal) => {
                     if let Some(sender) = self.decisions.remove(&handle) {
-                        // The caller may have gone at the same moment.
+                        // The caller may have disconnected meanwhile.
                         let _ = sender.send(Decision::Refused(refusal));
                     }
                 }
                 Effect::Unserved(handle) => {
                     if let Some(sender) = self.decisions.remove(&handle) {
-                        // The caller may have gone at the same moment.
+                        // The caller may have disconnected meanwhile.
                         let _ = sender.send(Decision::NoEndpoint);
                     }
                 }
                 Effect::Expire(handle) => {
                     if let Some(sender) = self.decisions.remove(&handle) {
-                        // The caller may have gone at the same moment.
+                        // The caller may have disconnected meanwhile.
                         let _ = sender.send(Decision::Expired);
                     }
                 }
@@ -628,19 +667,20 @@
         }
     }
 
-    /// An endpoint that this process knows, or was granted.
+    /// Finds an endpoint that this process knows or was recently granted.
     fn endpoint(&self, id: EndpointId) -> Option<&Endpoint> {
-        let known = self.live.config.endpoints.get(&id);
+        let known = self.effective.config.endpoints.get(&id);
         known.or_else(|| self.recent.get(id))
     }
 
+    /// Tells a waiting request to which endpoint it is sent.
     fn dispatch(&mut self, now: Millis, handle: Handle, endpoint: EndpointId) {
         let sender = self.decisions.remove(&handle);
         let found = self.endpoint(endpoint);
         let (Some(found), Some(sender)) = (found, sender) else {
             let gone = coordination::ask::Verdict::Gone;
             let effects = self.dispatcher.done(now, handle, 0, gone);
-            self.act(now, effects);
+            self.perform(now, effects);
             return;
         };
         let placement = self.dispatcher.placement(handle);
@@ -654,57 +694,59 @@
             placement,
         };
         if sender.send(Decision::Dispatch(dispatch)).is_err() {
-            // The caller left while the grant was on its way: no byte was sent.
+            // The caller disconnected while the grant was in transit: no byte was sent.
             let gone = coordination::ask::Verdict::Gone;
             let effects = self.dispatcher.done(now, handle, 0, gone);
-            self.act(now, effects);
+            self.perform(now, effects);
         }
     }
 
-    fn reach(&mut self, assignment: &Assignment) {
-        if self.schedulers_dialed.insert(assignment.place.vm.clone()) {
+    /// Opens a link to a scheduler unless there is one.
+    fn dial_scheduler(&mut self, assignment: &Assignment) {
+        if self.dialed_schedulers.insert(assignment.place.vm.clone()) {
             self.parts.hub.dial(&assignment.place);
         }
     }
 
+    /// Advances all timeouts and sends what has become due.
     fn tick(&mut self) {
         let now = self.now();
-        let live = self.live.clone();
+        let effective = self.effective.clone();
         let was_hot = self.dispatcher.is_hot();
-        let effects = self.dispatcher.tick(now, &live);
+        let effects = self.dispatcher.tick(now, &effective);
         self.dirty |= was_hot != self.dispatcher.is_hot();
-        self.act(now, effects);
+        self.perform(now, effects);
         self.schedulers.tick(now, &mut self.batch);
         let hub = &self.parts.hub;
-        let up = match self.dissemination.parent() {
-            _ if self.parts.control => Up::Control(&mut self.queries, hub),
-            Some(parent) => Up::Parent(parent, hub),
-            None => Up::Nobody,
+        let uplink = match self.dissemination.parent() {
+            _ if self.parts.is_control => Uplink::Control(&mut self.queries, hub),
+            Some(parent) => Uplink::Parent(parent, hub),
+            None => Uplink::None,
         };
-        self.quarantine.tick(now, up);
+        self.quarantine.tick(now, uplink);
         self.queries.tick(now, &self.parts.hub);
         self.dissemination
             .tick(now, &self.parts.hub, self.view.version);
-        self.reach_schedulers();
-        self.prove(now);
-        self.stand(now);
-        self.beat(now);
-        self.ask_cells(now);
-        self.seek_ready(now);
-        self.tell_dependencies(now);
-        if now >= self.tell_kept_at {
-            self.tell_kept_at = now.after(TELL_KEPT_MS);
-            self.tell_kept();
+        self.dial_schedulers();
+        self.request_proof(now);
+        self.update_candidacy(now);
+        self.send_heartbeat(now);
+        self.request_cells(now);
+        self.update_readiness(now);
+        self.log_dependencies(now);
+        if now >= self.next_kept_at {
+            self.next_kept_at = now.after(KEPT_INTERVAL_MS);
+            self.send_kept();
         }
-        if now >= self.measure_at {
-            self.measure_at = now.after(MEASURE_MS);
-            self.measure();
-            self.dedicate();
-            self.tell_served();
-            self.close_links();
+        if now >= self.next_measure_at {
+            self.next_measure_at = now.after(MEASURE_INTERVAL_MS);
+            self.update_metrics();
+            self.update_dedicated();
+            self.send_served();
+            self.close_unused_links();
             self.dissemination
                 .count_routers(&self.parts.hub, &self.members);
-            self.follow_recent(now);
+            self.refresh_recent(now);
         }
     }
 }
--- a/components/node/src/reactor/peers.rs
+++ b/components/node/src/reactor/peers.rs
@@ -1,4 +1,4 @@
-//! Other processes: who is reached, and how new the view is.
+//! Links to other processes, heartbeats, and the proof that the view is current.
 
 use super::Reactor;
 use coordination::candidacy::Known;
@@ -10,46 +10,47 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::sync::oneshot;
 
-/// Age of the list up to which a control VM tells schedulers of it, in milliseconds.
-const CELL_AGE_MS: u64 = 5000;
-/// Time for the parent to answer how new its view is before the leader is asked, in
-/// milliseconds.
-const PARENT_MS: u64 = 500;
-/// Time between two heartbeats of a VM that can schedule, in milliseconds.
-const BEAT_MS: u64 = 300;
+/// Largest age of the platform's list with which a control VM answers requests for the endpoints
+/// of a shard, in milliseconds.
+const CELL_AGE_MAX_MS: u64 = 5000;
+/// Time for which a process that is not ready waits for its parent's proof before it asks the
+/// leader, in milliseconds.
+const PARENT_PROOF_TIMEOUT_MS: u64 = 500;
+/// Time between two heartbeats of a VM that can run schedulers, in milliseconds.
+const HEARTBEAT_INTERVAL_MS: u64 = 300;
 
 impl Reactor {
     /// Dials the schedulers that the dispatcher has sessions with.
-    pub(super) fn reach_schedulers(&mut self) {
+    pub(super) fn dial_schedulers(&mut self) {
         let wanted: BTreeMap<Name, Assignment> = (self.dispatcher.shards())
-            .filter_map(|(shard, _)| self.live.assignment(shard))
+            .filter_map(|(shard, _)| self.effective.assignment(shard))
             .map(|assignment| (assignment.place.vm.clone(), assignment.clone()))
             .collect();
-        self.schedulers_dialed.retain(|vm| wanted.contains_key(vm));
+        self.dialed_schedulers.retain(|vm| wanted.contains_key(vm));
         for assignment in wanted.values() {
-            self.reach(assignment);
+            self.dial_scheduler(assignment);
         }
     }
 
-    /// Closes links that nothing here needs any more.
+    /// Closes links that this process no longer needs.
     ///
-    /// Each costs signs of life on both VMs: links that stay after a query would
-    /// make a control VM's traffic grow with the fleet.
-    pub(super) fn close_links(&mut self) {
+    /// Each open link costs keep-alive messages on both VMs. If links stayed open after a query,
+    /// the traffic of a control VM would grow with the fleet.
+    pub(super) fn close_unused_links(&mut self) {
         let hub = &self.parts.hub;
-        let member = self.parts.control || self.is_candidate;
+        let member = self.parts.is_control || self.is_candidate;
         for vm in hub.dialed() {
-            let seed = member && self.control_places().iter().any(|s| s.vm == vm);
-            let needed = seed
+            let is_seed = member && self.control_places().iter().any(|s| s.vm == vm);
+            let needed = is_seed
                 || self.dissemination.needs(&vm)
                 || self.queries.needs(&vm)
-                || self.schedulers_dialed.contains(&vm)
-                || self.regions_dialed.contains(&vm);
+                || self.dialed_schedulers.contains(&vm)
+                || self.dialed_regions.contains(&vm);
             if needed {
                 continue;
             }
-            // The peer may use the link that we opened.
-            if self.dissemination.feeds(&vm) || self.schedulers.serves(&vm) {
+            // The peer may still use a link that this process opened.
+            if self.dissemination.has_child(&vm) || self.schedulers.has_session(&vm) {
                 hub.undial(&vm);
             } else {
                 hub.close(&vm);
@@ -57,74 +58,78 @@
         }
     }
 
-    /// Decides whether this VM stands as a candidate for schedulers.
-    pub(super) fn stand(&mut self, now: Millis) {
+    /// Decides whether this VM offers itself to the leader as a host for schedulers.
+    pub(super) fn update_candidacy(&mut self, now: Millis) {
         let is_lost = |(_, is_up): (_, bool)| !is_up;
         let known = Known {
             is_assigned: self.view.assignments.iter().any(|a| a.place.vm == self.me),
             is_unscheduled: self.is_unassigned || self.dispatcher.shards().any(is_lost),
-            routers: self.dissemination.size(),
+            routers: self.dissemination.routers(),
             shards: self.shards,
         };
-        // Before the fleet is counted nobody stands who does not schedule: all would.
-        let may_stand = known.is_assigned || known.routers.is_some();
-        let stands = self.parts.scheduler && may_stand && self.candidacy.stands(now, known);
-        if stands && !self.is_candidate {
+        // Until the routers are counted only VMs that already run a scheduler are candidates.
+        // Otherwise every VM would be one.
+        let may_be_candidate = known.is_assigned || known.routers.is_some();
+        let is_candidate =
+            self.parts.may_schedule && may_be_candidate && self.candidacy.stands(now, known);
+        if is_candidate && !self.is_candidate {
             self.dial_control();
         }
-        self.is_candidate = stands;
+        self.is_candidate = is_candidate;
     }
 
-    pub(super) fn beat(&mut self, now: Millis) {
-        if !self.is_candidate || self.stopping || now < self.beat_at {
+    /// Sends a heartbeat to the control VMs if this VM is a candidate for schedulers.
+    pub(super) fn send_heartbeat(&mut self, now: Millis) {
+        if !self.is_candidate || self.stopping || now < self.next_heartbeat_at {
             return;
         }
-        self.beat_at = now.after(BEAT_MS);
-        let beat = Message::Beat {
+        self.next_heartbeat_at = now.after(HEARTBEAT_INTERVAL_MS);
+        let heartbeat = Message::Beat {
             region: self.parts.home.region.clone(),
             data_centre: self.parts.home.data_centre.clone(),
             incarnation: self.parts.hub.hello().incarnation,
         };
         for seed in self.control_places() {
-            self.parts.hub.send(&seed.vm, beat.clone());
+            self.parts.hub.send(&seed.vm, heartbeat.clone());
         }
     }
 
-    /// Control VMs: those that the control role here or the view tells of, and the
-    /// seeds, which may know of others.
+    /// All known control VMs: the members that the control role here reports, or else those in
+    /// the view, followed by the seeds from the settings, which may know of others.
     pub(super) fn control_places(&self) -> Vec<Place> {
-        let told = if self.members.is_empty() {
+        let members = if self.members.is_empty() {
             &self.view.control
         } else {
             &self.members
         };
-        let mut places: Vec<Place> = told.clone();
+        let mut places: Vec<Place> = members.clone();
         places.extend(self.parts.seeds.iter().cloned());
         let mut seen = BTreeSet::new();
         places.retain(|p| seen.insert(p.vm.clone()));
         places
     }
 
+    /// Opens links to all known control VMs.
     pub(super) fn dial_control(&self) {
         for place in self.control_places() {
             self.parts.hub.dial(&place);
         }
     }
 
-    /// Follows a change among the control VMs.
-    pub(super) fn follow_control(&mut self) {
+    /// Applies a change of the known control VMs.
+    pub(super) fn update_control_places(&mut self) {
         let places = self.control_places();
         self.dissemination.set_seeds(places.clone());
         self.queries.set_seeds(places);
-        if self.parts.control || self.is_candidate {
+        if self.parts.is_control || self.is_candidate {
             self.dial_control();
         }
     }
 
-    /// Asks control VMs for the endpoints of the shards that are scheduled here, where there
-    /// are too many for all processes.
-    pub(super) fn ask_cells(&mut self, now: Millis) {
-        if !self.live.is_partial() {
+    /// Requests the endpoints of the shards that are scheduled here from control VMs, if the
+    /// platform's list is too long to be sent to every process.
+    pub(super) fn request_cells(&mut self, now: Millis) {
+        if !self.effective.is_partial() {
             return;
         }
         for question in self.cells.due(now) {
@@ -136,7 +141,7 @@
         }
     }
 
-    /// A control VM with a link, in turn, those of the own data centre first.
+    /// Picks a control VM with a link by round robin, starting in this VM's data centre.
     fn control_vm(&self, turn: usize) -> Option<Name> {
         let peers = self.parts.hub.peers();
         let data_centre = |vm: &Name| {
@@ -146,21 +151,21 @@
         let places = self.control_places();
         let linked = places.iter().map(|p| &p.vm);
         let mut linked: Vec<&Name> = linked.filter(|vm| self.parts.hub.is_up(vm)).collect();
-        let here = Some(&self.parts.home.data_centre);
-        linked.sort_by_key(|vm| (data_centre(vm) != here, *vm));
-        let place = turn.checked_rem(linked.len())?;
-        Some(linked[place].clone())
+        let own = Some(&self.parts.home.data_centre);
+        linked.sort_by_key(|vm| (data_centre(vm) != own, *vm));
+        let index = turn.checked_rem(linked.len())?;
+        Some(linked[index].clone())
     }
 
-    /// Answers a scheduler which endpoints its shard has.
-    pub(super) fn tell_cell(&mut self, now: Millis, vm: &Name, shard: Shard, known: u64) {
+    /// Answers a scheduler's request for the endpoints of its shard.
+    pub(super) fn answer_cell_request(&mut self, now: Millis, vm: &Name, shard: Shard, known: u64) {
         let service = self.view.config.services.get(&shard.service);
         let (Some(service), Some(_)) = (service, self.roster.census()) else {
             return;
         };
-        // Whoever does not hold the list, or has not heard of it, leaves the answer to others.
+        // Without the list, or with an outdated one, the answer is left to other control VMs.
         let is_known = !self.roster.listing().endpoints.is_empty();
-        if !is_known || !self.roster.is_recent(now, CELL_AGE_MS) {
+        if !is_known || !self.roster.is_recent(now, CELL_AGE_MAX_MS) {
             return;
         }
         let all = self.roster.listing();
@@ -173,121 +178,121 @@
             .send(vm, Message::Cell(shard, Box::new(answer)));
     }
 
-    /// Answers a child's question how new the view is.
-    pub(super) fn check(&self, now: Millis, vm: &Name, sent: u64) {
-        let Some(proof) = self.dissemination.proof() else {
+    /// Answers a child's check: until when this process's view is known to be the newest.
+    pub(super) fn answer_check(&self, now: Millis, vm: &Name, sent: u64) {
+        let Some(verified_at) = self.dissemination.verified_at() else {
             return;
         };
         let checked = Message::Checked {
             sent,
-            age_ms: now.since(proof),
+            age_ms: now.since(verified_at),
             head: self.view.version,
         };
         self.parts.hub.send(vm, checked);
     }
 
-    /// A root asks the leader for the proof that its view is the newest.
-    pub(super) fn prove(&mut self, now: Millis) {
+    /// On a root of the tree, asks the leader for a proof that the view is the newest.
+    pub(super) fn request_proof(&mut self, now: Millis) {
         if !self.dissemination.is_root() {
             return;
         }
-        if let Some((at, answer)) = &mut self.proving {
+        if let Some((at, answer)) = &mut self.pending_proof {
             match answer.try_recv() {
                 Ok(Reply::Head(head)) => {
                     let at = *at;
-                    self.dissemination.prove(at, head, self.view.version);
-                    self.proving = None;
+                    self.dissemination.record_proof(at, head, self.view.version);
+                    self.pending_proof = None;
                     self.dirty = true;
                 }
-                Ok(_) | Err(oneshot::error::TryRecvError::Closed) => self.proving = None,
+                Ok(_) | Err(oneshot::error::TryRecvError::Closed) => self.pending_proof = None,
                 Err(oneshot::error::TryRecvError::Empty) => {}
             }
         }
-        if self.dissemination.wants_proof(now) && self.proving.is_none() {
+        if self.dissemination.take_proof_due(now) && self.pending_proof.is_none() {
             let (sender, receiver) = oneshot::channel();
-            self.proving = Some((now, receiver));
+            self.pending_proof = Some((now, receiver));
             self.queries.ask(now, &self.parts.hub, Query::Head, sender);
         }
     }
 
-    /// Becomes ready once the view is as new as the version that a quorum had
-    /// in force after this process started.
+    /// Becomes ready once the view has reached the version that a quorum had in force after this
+    /// process started.
     ///
-    /// A process that served what its first peer happened to have could step
-    /// back behind its own earlier life: one would see a removed customer
-    /// served again after a restart.
-    pub(super) fn seek_ready(&mut self, now: Millis) {
+    /// If a process served the view of the first peer that it reached, it could be older than the
+    /// one from before its restart, and a customer that was removed would be served again.
+    pub(super) fn update_readiness(&mut self, now: Millis) {
         if self.ready {
             return;
         }
-        // What the parent has proved since this process started is as good as an answer of the
-        // leader, which all routers would ask at once after a loss of everything.
-        let proof = self.dissemination.proof();
-        if proof.is_some_and(|at| at >= self.started) {
-            self.needed = Some(self.view.version);
+        // A proof from the parent that is younger than this process is as good as an answer of
+        // the leader. It spares the leader queries from all routers at once after a full outage.
+        let verified_at = self.dissemination.verified_at();
+        if verified_at.is_some_and(|at| at >= self.started) {
+            self.required_version = Some(self.view.version);
         }
-        if self.needed.is_none() && self.asks_leader(now) {
-            let (at, head) = self.head.get_or_insert_with(|| {
+        if self.required_version.is_none() && self.should_ask_leader(now) {
+            let (at, head) = self.pending_head.get_or_insert_with(|| {
                 let (sender, receiver) = oneshot::channel();
                 self.queries.ask(now, &self.parts.hub, Query::Head, sender);
                 (now, receiver)
             });
             match head.try_recv() {
                 Ok(Reply::Head(version)) => {
-                    // It proves as much as an answer to a check. Without it, a router
-                    // whose feed has just begun would refuse callers until the next
-                    // check, for up to half a second after each loss of everything.
-                    self.dissemination.prove(*at, version, self.view.version);
-                    self.needed = Some(version);
+                    // This proves as much as an answer to a check. Without it, a router
+                    // that has just found a parent would refuse callers until the next
+                    // check, for up to half a second after a full outage.
+                    self.dissemination
+                        .record_proof(*at, version, self.view.version);
+                    self.required_version = Some(version);
                 }
-                Ok(_) | Err(oneshot::error::TryRecvError::Closed) => self.head = None,
+                Ok(_) | Err(oneshot::error::TryRecvError::Closed) => self.pending_head = None,
                 Err(oneshot::error::TryRecvError::Empty) => {}
             }
         }
         if self
-            .needed
+            .required_version
             .is_some_and(|needed| self.view.version >= needed)
         {
             tracing::info!(
                 event = Line::Ready.as_str(),
                 version = self.view.version.0,
-                needed = self.needed.map(|v| v.0),
+                needed = self.required_version.map(|v| v.0),
             );
             self.ready = true;
             self.dirty = true;
         }
     }
 
-    /// Whether it asks the leader itself: at a root of the tree, or where the parent has proved
-    /// nothing since this process started.
-    fn asks_leader(&mut self, now: Millis) -> bool {
-        if self.dissemination.is_root() || self.head.is_some() {
+    /// Whether this process has to ask the leader itself: because it is a root of the tree, or
+    /// because its parent has sent no proof in time.
+    fn should_ask_leader(&mut self, now: Millis) -> bool {
+        if self.dissemination.is_root() || self.pending_head.is_some() {
             return true;
         }
-        let fed = self.fed_at.get_or_insert(now);
-        let is_fed = self.dissemination.parent().is_some();
-        if !is_fed {
-            self.fed_at = None;
+        let since = self.parent_since.get_or_insert(now);
+        let has_parent = self.dissemination.parent().is_some();
+        if !has_parent {
+            self.parent_since = None;
             return false;
         }
-        self.dissemination.is_checked() || now.since(*fed) >= PARENT_MS
+        self.dissemination.is_checked() || now.since(*since) >= PARENT_PROOF_TIMEOUT_MS
     }
 
-    /// Tells other schedulers of the region what engines of those here keep.
-    pub(super) fn tell_kept(&mut self) {
-        for (to, kept) in self.schedulers.kept(&self.live) {
+    /// Sends other schedulers of the region what the engines of the schedulers here have cached.
+    pub(super) fn send_kept(&mut self) {
+        for (to, kept) in self.schedulers.take_kept(&self.effective) {
             self.parts.hub.send(&to.place.vm, Message::Kept(kept));
         }
     }
 
-    /// Tells other regions' schedulers what those here have given.
-    pub(super) fn tell_served(&mut self) {
+    /// Sends schedulers in other regions the service that the schedulers here have granted.
+    pub(super) fn send_served(&mut self) {
         let mut wanted = BTreeSet::new();
-        for (to, served) in self.schedulers.served(&self.live) {
+        for (to, served) in self.schedulers.take_served(&self.effective) {
             self.parts.hub.dial(&to.place);
             self.parts.hub.send(&to.place.vm, Message::Served(served));
             wanted.insert(to.place.vm);
         }
-        self.regions_dialed = wanted;
+        self.dialed_regions = wanted;
     }
 }
--- a/components/node/src/reactor/show.rs
+++ b/components/node/src/reactor/show.rs
@@ -1,4 +1,4 @@
-//! What the reactor shows to the rest of the process and to operators.
+//! State that the reactor publishes to the rest of the process and reports to operators.
 
 use super::Reactor;
 use crate::input::Watched;
@@ -11,24 +11,25 @@
 use std::sync::Arc;
 
 impl Reactor {
+    /// Publishes the current state to the rest of the process.
     pub(super) fn publish(&self) {
         let shared = Shared {
-            view: self.live.clone(),
+            view: self.effective.clone(),
             index: self.index.clone(),
             ready: self.ready,
             stopping: self.stopping,
             closed: self.closed,
             is_dedicated: self.dedicated,
             is_hot: self.dispatcher.is_hot(),
-            verified_at: self.dissemination.proof(),
-            routers: (self.dispatcher.routers()).max(self.dissemination.size().unwrap_or(1)),
+            verified_at: self.dissemination.verified_at(),
+            routers: (self.dispatcher.routers()).max(self.dissemination.routers().unwrap_or(1)),
         };
         self.parts.publish.send_replace(Arc::new(shared));
     }
 
-    /// Sends new callers to other routers while this VM schedules for many.
-    pub(super) fn dedicate(&mut self) {
-        let dedicated = self.schedulers.is_dedicated(&self.live);
+    /// Updates whether this VM schedules for so many routers that new callers should use others.
+    pub(super) fn update_dedicated(&mut self) {
+        let dedicated = self.schedulers.is_dedicated(&self.effective);
         if dedicated != self.dedicated {
             tracing::info!(event = Line::Dedicated.as_str(), dedicated);
             self.dedicated = dedicated;
@@ -36,8 +37,8 @@
         }
     }
 
-    /// Logs which data centres are evacuated from now on, and which no longer.
-    pub(super) fn tell_evacuations(&mut self) {
+    /// Logs evacuations that have begun or ended since the last call.
+    pub(super) fn log_evacuations(&mut self) {
         let evacuated: BTreeSet<Name> = self.view.evacuated().cloned().collect();
         let version = self.view.version.0;
         for data_centre in evacuated.difference(&self.evacuated) {
@@ -51,41 +52,50 @@
         self.evacuated = evacuated;
     }
 
-    pub(super) fn measure(&mut self) {
-        let m = &self.parts.metrics;
-        m.waiting.set(gauge_value(self.dispatcher.waiting()));
-        m.held.set(gauge_value(self.dispatcher.held()));
-        m.version.set(gauge_value(self.view.version.0));
-        m.evacuated.set(gauge_value(self.evacuated.len()));
-        m.ready.set(i64::from(self.ready && !self.stopping));
-        m.local.set(gauge_value(
+    /// Updates the gauges.
+    pub(super) fn update_metrics(&mut self) {
+        let metrics = &self.parts.metrics;
+        metrics.waiting.set(gauge_value(self.dispatcher.waiting()));
+        metrics.in_progress.set(gauge_value(self.dispatcher.held()));
+        metrics.version.set(gauge_value(self.view.version.0));
+        metrics.evacuated.set(gauge_value(self.evacuated.len()));
+        metrics.ready.set(i64::from(self.ready && !self.stopping));
+        metrics.local_shards.set(gauge_value(
             self.dispatcher.shards().filter(|(_, up)| !up).count(),
         ));
-        self.schedulers.measure(&self.live);
-        let (datagrams, udp) = self.parts.hub.udp();
-        let set = |what, number| m.link.with_label_values(&[what]).set(gauge_value(number));
+        self.schedulers.update_metrics(&self.effective);
+        let (datagrams, bytes) = self.parts.hub.udp();
+        let set = |what, number| {
+            metrics
+                .links
+                .with_label_values(&[what])
+                .set(gauge_value(number))
+        };
         set("datagrams", datagrams);
-        set("datagram_bytes", udp);
+        set("datagram_bytes", bytes);
         set("links", self.parts.hub.peers().len() as u64);
         for (kind, (frames, bytes)) in self.parts.hub.counts().kinds() {
-            m.frames
+            metrics
+                .frames
                 .with_label_values(&[kind, "frames"])
                 .set(gauge_value(frames));
-            m.frames
+            metrics
+                .frames
                 .with_label_values(&[kind, "bytes"])
                 .set(gauge_value(bytes));
         }
     }
 
-    pub(super) fn watched(&self) -> Vec<Watched> {
-        let config = &self.live.config;
+    /// Endpoints that are scheduled here and have a load report.
+    pub(super) fn watched_endpoints(&self) -> Vec<Watched> {
+        let config = &self.effective.config;
         let mut watched = Vec::new();
         for shard in self.schedulers.shards() {
             let service = config.services.get(&shard.service);
             let Some(path) = service.and_then(|s| s.load.clone()) else {
                 continue;
             };
-            for (endpoint, ..) in endpoints(&self.live, &shard) {
+            for (endpoint, ..) in endpoints(&self.effective, &shard) {
                 let address = config.endpoints.get(&endpoint).map(|e| e.address);
                 watched.extend(address.map(|address| Watched {
                     endpoint,
@@ -97,6 +107,7 @@
         watched
     }
 
+    /// State of this process, for operators.
     pub(super) fn status(&self) -> Status {
         let customers = &self.view.config.customers;
         let name = |id| {
--- a/components/node/src/readiness.rs
+++ b/components/node/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Tells on an address of its own whether this router takes requests.
+//! Readiness check for load balancers, on an address of its own.
 
 use crate::monitor::Lateness;
 use crate::shared::Published;
@@ -8,34 +8,34 @@
 use tokio::sync::watch;
 use transport::clock::Clock;
 
-/// What readiness depends on.
+/// State that readiness depends on.
 #[derive(Clone)]
 pub(crate) struct Parts {
-    /// What is in force.
+    /// State published by the reactor.
     pub(crate) published: watch::Receiver<Published>,
-    /// Clock.
+    /// Clock of this process.
     pub(crate) clock: Clock,
-    /// Age of the last proof of the newest version past which customers are refused, in
-    /// milliseconds.
+    /// Age of the last proof that the view is the newest, in milliseconds, from which customers are
+    /// refused.
     pub(crate) stale_ms: Option<u64>,
     /// How late tasks of this process run.
     pub(crate) lateness: Lateness,
 }
 
 impl Parts {
-    /// Whether requests would be served: by what is in force, by its proof, and by the
-    /// processor, which a scheduler for many routers needs for itself.
+    /// Whether requests would be served: the view is current, the processor is not overloaded, and
+    /// it is not needed for a scheduler of many routers.
     pub(crate) fn is_ready(&self) -> bool {
         let published = self.published.borrow();
         let now = self.clock.now();
         let age = published.verified_at.map_or(u64::MAX, |at| now.since(at));
-        let proved = self.stale_ms.is_none_or(|bound| age <= bound);
-        let has_time = !published.is_dedicated && !self.lateness.is_shedding();
-        published.ready && !published.stopping && proved && has_time
+        let is_current = self.stale_ms.is_none_or(|bound| age <= bound);
+        let has_capacity = !published.is_dedicated && !self.lateness.is_shedding();
+        published.ready && !published.stopping && is_current && has_capacity
     }
 }
 
-/// The answer, whatever was asked.
+/// The response to any request.
 pub(crate) fn answer(ready: bool) -> Response<Full<Bytes>> {
     let (status, body) = if ready {
         (StatusCode::OK, "ready\n")
--- a/components/node/src/releases.rs
+++ b/components/node/src/releases.rs
@@ -1,4 +1,4 @@
-//! Where operators send complete configurations and read them back, and order evacuations.
+//! HTTP server on which operators put and get the complete configuration and order evacuations.
 
 use crate::control;
 use crate::evacuation::{Orders, Outcome};
@@ -18,44 +18,41 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, Semaphore, SemaphorePermit};
 
-/// Bytes of configurations that are taken at once, over all connections.
+/// Largest number of bytes of configurations that are accepted at once, over all connections.
 ///
-/// Each is held until its last byte has come, and then some times over while it is read
-/// and proposed. Without this bound the connections together take more than the VM has,
-/// and its process, a voter, is ended: one would see a control VM start again whenever
-/// operators are busy. 70 bodies of 2.4 MB took it to 165 MB without the bound.
-const ROOM: usize = 8 * 1024 * 1024;
-/// Longest time that a configuration waits for room before its operator is told to come
-/// again.
-const ROOM_TIME: Duration = Duration::from_secs(1);
-/// Bytes of a refused body that are read and dropped, so that its sender, who may read
-/// the answer only then, gets it.
-const DROP_MAX: usize = 16 * 1024 * 1024;
-/// Time for a configuration to arrive.
-const BODY_TIME: Duration = Duration::from_secs(10);
-/// Longest time for the control VMs to accept a configuration.
-///
-/// An election takes up to 1.4 s; an operator who hears nothing for longer is
-/// told to ask again.
-const ACCEPT: Duration = Duration::from_millis(2500);
-/// Longest time to learn which configuration is the newest.
-const READ: Duration = Duration::from_millis(900);
-/// Time between two looks whether this VM has reached the newest version.
-const CATCH_UP: Duration = Duration::from_millis(10);
+/// Each body is buffered completely and copied several times while it is parsed and proposed.
+/// Without this limit, concurrent bodies can exhaust the memory of the VM, and the kernel kills
+/// the process, which is a voter: 70 bodies of 2.4 MB took 165 MB.
+const BODIES_BYTES_MAX: usize = 8 * 1024 * 1024;
+/// Longest time that a configuration waits for buffer space, after which the operator is told to
+/// retry.
+const SPACE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Largest number of bytes of a refused body that are read and discarded. Some clients read the
+/// response only after they have sent the whole body.
+const DISCARD_BYTES_MAX: usize = 16 * 1024 * 1024;
+/// Time for a body to arrive.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time for the control VMs to accept a configuration, after which the operator is told to retry.
+/// An election of a leader takes up to 1.4 s.
+const ACCEPT_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Time to find out which configuration is the newest.
+const READ_TIMEOUT: Duration = Duration::from_millis(900);
+/// Time between two checks of whether this VM has reached the newest version.
+const CATCH_UP_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What the side of releases is given.
+/// Dependencies of the server.
 pub(crate) struct Parts {
     pub(crate) interface: Interface,
     pub(crate) reactor: flume::Sender<Input>,
     pub(crate) control: flume::Sender<control::Input>,
-    /// Evacuations.
+    /// Sender of evacuation orders.
     orders: Orders,
-    /// Room for bodies that arrive, in bytes.
-    room: Semaphore,
+    /// Free buffer space for bodies, in bytes.
+    space: Semaphore,
 }
 
 impl Parts {
-    /// Parts with all room free.
+    /// Creates the dependencies with all buffer space free.
     pub(crate) fn new(
         interface: Interface,
         reactor: flume::Sender<Input>,
@@ -67,7 +64,7 @@
             reactor,
             control,
             orders,
-            room: Semaphore::new(ROOM),
+            space: Semaphore::new(BODIES_BYTES_MAX),
         }
     }
 }
@@ -79,16 +76,16 @@
         return evacuate(&parts, &data_centre, request).await;
     }
     if request.uri().path() != parts.interface.release_path {
-        return text(StatusCode::NOT_FOUND, "there is nothing here");
+        return error(StatusCode::NOT_FOUND, "no such path");
     }
     match *request.method() {
         Method::GET => read(&parts).await,
         Method::PUT => put(&parts, request).await,
-        _ => text(StatusCode::METHOD_NOT_ALLOWED, "GET or PUT"),
+        _ => error(StatusCode::METHOD_NOT_ALLOWED, "GET or PUT"),
     }
 }
 
-/// Evacuates a data centre, or ends that.
+/// Evacuates a data centre (POST), or ends its evacuation (DELETE).
 async fn evacuate(
     parts: &Parts,
     data_centre: &str,
@@ -97,63 +94,64 @@
     let is_evacuated = match *request.method() {
         Method::POST => true,
         Method::DELETE => false,
-        _ => return text(StatusCode::METHOD_NOT_ALLOWED, "POST or DELETE"),
+        _ => return error(StatusCode::METHOD_NOT_ALLOWED, "POST or DELETE"),
     };
     let mut body = request.into_body();
-    match tokio::time::timeout(BODY_TIME, receive(&mut body, 0)).await {
+    match tokio::time::timeout(BODY_TIMEOUT, receive(&mut body, 0)).await {
         Ok(Ok(Some(_))) => {}
         Ok(Ok(None)) => {
-            skip(body).await;
-            return text(StatusCode::BAD_REQUEST, "an evacuation has no body");
+            discard(body).await;
+            return error(StatusCode::BAD_REQUEST, "an evacuation takes no body");
         }
-        Ok(Err(error)) => return text(StatusCode::BAD_REQUEST, &error.to_string()),
-        Err(_) => return text(StatusCode::REQUEST_TIMEOUT, "the body took too long"),
+        Ok(Err(failure)) => return error(StatusCode::BAD_REQUEST, &failure.to_string()),
+        Err(_) => return error(StatusCode::REQUEST_TIMEOUT, "receiving the body timed out"),
     }
-    match parts.orders.give(data_centre, is_evacuated).await {
+    match parts.orders.send(data_centre, is_evacuated).await {
         Outcome::Accepted(version) => {
             let body = serde_json::json!({ "data-centre": data_centre, "version": version.0 });
             let mut response = Response::new(Full::new(Bytes::from(format!("{body}\n"))));
             json(&mut response);
             response
         }
-        Outcome::Unknown(reason) => text(StatusCode::NOT_FOUND, &reason),
-        Outcome::Unsure => {
-            unsure("the control VMs did not accept it in time; it may yet be in force")
+        Outcome::Unknown(reason) => error(StatusCode::NOT_FOUND, &reason),
+        Outcome::Unconfirmed => {
+            retry("the control VMs did not confirm it in time; it may still come into force")
         }
     }
 }
 
+/// Puts a complete configuration into force.
 async fn put(parts: &Parts, request: Request<Incoming>) -> Response<Full<Bytes>> {
     let mut body = request.into_body();
-    let Some(length) = announced(&body) else {
-        skip(body).await;
+    let Some(length) = announced_length(&body) else {
+        discard(body).await;
         return too_large();
     };
-    let Some(_room) = room(parts, length).await else {
-        skip(body).await;
-        return unsure("too many configurations come at once");
+    let Some(_space) = reserve(parts, length).await else {
+        discard(body).await;
+        return retry("too many configurations are being sent at once");
     };
-    let document = match tokio::time::timeout(BODY_TIME, receive(&mut body, length)).await {
+    let document = match tokio::time::timeout(BODY_TIMEOUT, receive(&mut body, length)).await {
         Ok(Ok(Some(document))) => document,
         Ok(Ok(None)) => {
-            skip(body).await;
+            discard(body).await;
             return too_large();
         }
-        Ok(Err(error)) => return text(StatusCode::BAD_REQUEST, &error.to_string()),
-        Err(_) => return text(StatusCode::REQUEST_TIMEOUT, "the body took too long"),
+        Ok(Err(failure)) => return error(StatusCode::BAD_REQUEST, &failure.to_string()),
+        Err(_) => return error(StatusCode::REQUEST_TIMEOUT, "receiving the body timed out"),
     };
     let release = match (parts.interface.parse_release)(document) {
         Ok(release) => release,
         Err(reason) => {
             tracing::info!(event = Line::ReleaseRefused.as_str(), reason);
-            return text(StatusCode::BAD_REQUEST, &reason);
+            return error(StatusCode::BAD_REQUEST, &reason);
         }
     };
     if !codec::fits(&release) {
         return too_large();
     }
     let number = release.number;
-    let reply = ask(parts, Query::Release(Box::new(release)), ACCEPT).await;
+    let reply = ask(parts, Query::Release(Box::new(release)), ACCEPT_TIMEOUT).await;
     match reply {
         Some(Reply::Answer(Answer::Released(newest))) => {
             tracing::info!(event = Line::ReleaseAccepted.as_str(), number, newest);
@@ -162,16 +160,17 @@
             json(&mut response);
             response
         }
-        Some(Reply::Invalid(reason)) => text(StatusCode::BAD_REQUEST, &reason),
+        Some(Reply::Invalid(reason)) => error(StatusCode::BAD_REQUEST, &reason),
         _ => {
             tracing::warn!(event = Line::ReleaseUnanswered.as_str(), number);
-            unsure("the control VMs did not accept it in time; it may yet be in force")
+            retry("the control VMs did not confirm it in time; it may still come into force")
         }
     }
 }
 
-/// Bytes that a body may bring, if it can be taken: as many as it announces, or the most.
-fn announced(body: &Incoming) -> Option<usize> {
+/// Number of bytes to reserve for a body: its announced length, or else the maximum. `None` if
+/// the body is too long.
+fn announced_length(body: &Incoming) -> Option<usize> {
     let Some(length) = body.size_hint().exact() else {
         return Some(codec::RECORD_MAX);
     };
@@ -179,14 +178,14 @@
     (length <= codec::RECORD_MAX).then_some(length)
 }
 
-/// Waits a moment for room for a body.
-async fn room(parts: &Parts, length: usize) -> Option<SemaphorePermit<'_>> {
+/// Reserves buffer space for a body, with a timeout.
+async fn reserve(parts: &Parts, length: usize) -> Option<SemaphorePermit<'_>> {
     let length = u32::try_from(length).ok()?;
-    let room = tokio::time::timeout(ROOM_TIME, parts.room.acquire_many(length));
-    room.await.ok()?.ok()
+    let space = tokio::time::timeout(SPACE_TIMEOUT, parts.space.acquire_many(length));
+    space.await.ok()?.ok()
 }
 
-/// Reads a body; gives nothing if it is longer than `max`.
+/// Reads a body; returns `None` if it is longer than `max` bytes.
 async fn receive(body: &mut Incoming, max: usize) -> Result<Option<Bytes>, hyper::Error> {
     let mut document = Vec::with_capacity(max);
     while let Some(frame) = body.frame().await {
@@ -201,10 +200,10 @@
     Ok(Some(document.into()))
 }
 
-/// Reads what is left of a body and keeps nothing of it.
-async fn skip(mut body: Incoming) {
-    let skipping = async {
-        let mut left = DROP_MAX;
+/// Reads the rest of a refused body and discards it.
+async fn discard(mut body: Incoming) {
+    let discarding = async {
+        let mut left = DISCARD_BYTES_MAX;
         while let Some(Ok(frame)) = body.frame().await {
             let length = frame.data_ref().map_or(0, Bytes::len);
             match left.checked_sub(length) {
@@ -213,14 +212,18 @@
             }
         }
     };
-    if tokio::time::timeout(BODY_TIME, skipping).await.is_err() {
-        tracing::debug!("a refused body took too long");
+    if tokio::time::timeout(BODY_TIMEOUT, discarding)
+        .await
+        .is_err()
+    {
+        tracing::debug!("timed out while discarding a refused body");
     }
 }
 
+/// Returns the newest complete configuration.
 async fn read(parts: &Parts) -> Response<Full<Bytes>> {
     let reading = async {
-        let head = match ask(parts, Query::Head, READ).await {
+        let head = match ask(parts, Query::Head, READ_TIMEOUT).await {
             Some(Reply::Head(head)) => head,
             _ => return None,
         };
@@ -229,20 +232,21 @@
             if version >= head {
                 return Some(document);
             }
-            tokio::time::sleep(CATCH_UP).await;
+            tokio::time::sleep(CATCH_UP_INTERVAL).await;
         }
     };
-    match tokio::time::timeout(READ, reading).await {
+    match tokio::time::timeout(READ_TIMEOUT, reading).await {
         Ok(Some(Some(document))) => {
             let mut response = Response::new(Full::new(Bytes::from(document.bytes)));
             json(&mut response);
             response
         }
-        Ok(Some(None)) => unsure("no configuration was accepted yet"),
-        Ok(None) | Err(_) => unsure("this VM cannot tell which configuration is the newest"),
+        Ok(Some(None)) => retry("no configuration has been accepted yet"),
+        Ok(None) | Err(_) => retry("this VM cannot determine which configuration is the newest"),
     }
 }
 
+/// The complete configuration that is in force on this VM, and the version of its view.
 async fn document(parts: &Parts) -> Option<(Version, Option<state::store::Document>)> {
     let (sender, receiver) = oneshot::channel();
     let asked = parts.control.send(control::Input::Document(sender));
@@ -250,24 +254,28 @@
     receiver.await.ok()
 }
 
+/// Sends a query to the control VMs and waits for the reply.
 async fn ask(parts: &Parts, query: Query, wait: Duration) -> Option<Reply> {
     let (sender, receiver) = oneshot::channel();
     parts.reactor.send(Input::Query(query, sender)).ok()?;
     tokio::time::timeout(wait, receiver).await.ok()?.ok()
 }
 
+/// Response to a configuration that is too large.
 fn too_large() -> Response<Full<Bytes>> {
-    let most = codec::RECORD_MAX;
-    let reason = format!("a configuration has at most {most} bytes");
-    text(StatusCode::PAYLOAD_TOO_LARGE, &reason)
+    let max = codec::RECORD_MAX;
+    let reason = format!("a configuration may have at most {max} bytes");
+    error(StatusCode::PAYLOAD_TOO_LARGE, &reason)
 }
 
+/// Sets the content type to JSON.
 fn json(response: &mut Response<Full<Bytes>>) {
     let kind = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, kind);
 }
 
-fn text(status: StatusCode, reason: &str) -> Response<Full<Bytes>> {
+/// Response with an error message.
+fn error(status: StatusCode, reason: &str) -> Response<Full<Bytes>> {
     let body = serde_json::json!({ "error": reason });
     let mut response = Response::new(Full::new(Bytes::from(format!("{body}\n"))));
     *response.status_mut() = status;
@@ -275,8 +283,9 @@
     response
 }
 
-fn unsure(reason: &str) -> Response<Full<Bytes>> {
-    let mut response = text(StatusCode::SERVICE_UNAVAILABLE, reason);
+/// Response that asks the operator to retry in a second.
+fn retry(reason: &str) -> Response<Full<Bytes>> {
+    let mut response = error(StatusCode::SERVICE_UNAVAILABLE, reason);
     let headers = response.headers_mut();
     headers.insert(RETRY_AFTER, HeaderValue::from_static("1"));
     response
--- a/components/node/src/retry_after.rs
+++ b/components/node/src/retry_after.rs
@@ -1,24 +1,25 @@
-//! `Retry-After` of answers.
+//! The `Retry-After` header of endpoints' answers.
 
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use hyper::http::response::Parts;
 use hyper::StatusCode;
 use std::time::{Duration, SystemTime};
 
-/// Time for which an endpoint that turns a request away wants no more of them; the longest
-/// if it says several, `None` if it says none that can be read.
+/// Time for which an endpoint that refuses a request with 503 wants no more requests.
+///
+/// If there are several headers, the longest time; `None` if none of them can be parsed.
 pub fn retry_after(head: &Parts) -> Option<Duration> {
     if head.status != StatusCode::SERVICE_UNAVAILABLE {
         return None;
     }
     let now = SystemTime::now();
     let values = head.headers.get_all(RETRY_AFTER).iter();
-    let longest = values.filter_map(|value| read(value, now)).max();
+    let longest = values.filter_map(|value| parse(value, now)).max();
     longest.filter(|time| !time.is_zero())
 }
 
-/// Reads seconds, which may have a fraction, or a date.
-fn read(value: &HeaderValue, now: SystemTime) -> Option<Duration> {
+/// Parses seconds, which may have a fraction, or a date.
+fn parse(value: &HeaderValue, now: SystemTime) -> Option<Duration> {
     let text = value.to_str().ok()?.trim();
     if text.bytes().all(|b| b.is_ascii_digit() || b == b'.') {
         let seconds: f64 = text.parse().ok()?;
--- a/components/node/src/schedulers.rs
+++ b/components/node/src/schedulers.rs
@@ -1,8 +1,8 @@
-//! The schedulers that this VM runs.
+//! Schedulers that run on this VM: one per shard that the leader has assigned to it.
 
 use crate::batch::Batch;
 use crate::interface::Contents;
-use crate::inventory::Unknown;
+use crate::inventory::Inquiry;
 use crate::journal::Journal;
 use crate::metric::{gauge_value, Metrics};
 use crate::shared::ShardStatus;
@@ -18,37 +18,44 @@
 use state::view::{Assignment, Shard, View};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A scheduler with the sessions of its routers.
 struct Assigned {
     shard: Shard,
     scheduler: Scheduler,
+    /// The session of each router.
     sessions: BTreeMap<Name, Session>,
-    /// The VM of each session.
+    /// The router of each session.
     routers: BTreeMap<Session, Name>,
+    /// Endpoints of the shard.
     endpoints: BTreeMap<EndpointId, Endpoint>,
-    /// Whether routers do not know these, and are told of those that they are granted.
+    /// Whether grants have to carry the endpoint's address, because routers do not know the
+    /// endpoints of this shard.
     introduces: bool,
-    /// Schedulers that were told all that engines here keep.
-    told: BTreeSet<Epoch>,
-    /// Where to ask engines what they have kept, if they can tell.
-    inquiries: Option<flume::Sender<Unknown>>,
+    /// Schedulers that were sent the whole cache contents and now get changes alone.
+    synced: BTreeSet<Epoch>,
+    /// Channel for queries of an engine's prompt cache, if engines can list it.
+    inquiries: Option<flume::Sender<Inquiry>>,
 }
 
-/// All schedulers of this VM, by epoch.
+/// All schedulers of this VM.
 pub(crate) struct Schedulers {
+    /// Name of this VM.
     me: Name,
+    /// Schedulers by epoch.
     all: BTreeMap<Epoch, Assigned>,
     journal: Journal,
     metrics: Metrics,
-    inquiries: Option<flume::Sender<Unknown>>,
+    /// Channel for queries of an engine's prompt cache, if engines can list it.
+    inquiries: Option<flume::Sender<Inquiry>>,
 }
 
 impl Schedulers {
-    /// No schedulers yet. Engines are asked over `inquiries` what they have kept.
+    /// Creates an empty set of schedulers. Queries of prompt caches go to `inquiries`.
     pub(crate) fn new(
         me: Name,
         journal: Journal,
         metrics: Metrics,
-        inquiries: Option<flume::Sender<Unknown>>,
+        inquiries: Option<flume::Sender<Inquiry>>,
     ) -> Self {
         Schedulers {
             me,
@@ -59,30 +66,31 @@
         }
     }
 
-    /// Starts and ends schedulers as the view says.
+    /// Starts and ends schedulers as the view assigns them.
     pub(crate) fn follow(&mut self, now: Millis, view: &View, batch: &mut Batch) {
         let current = assignment::shards(view);
         let is_mine = |a: &&Assignment| a.place.vm == self.me && current.contains(&a.shard);
         let assignments = || view.assignments.iter().filter(is_mine);
-        let over: Vec<Epoch> = (self.all.keys())
+        let ended: Vec<Epoch> = (self.all.keys())
             .filter(|epoch| !assignments().any(|s| s.epoch == **epoch))
             .copied()
             .collect();
-        // Where endpoints come by shard, it begins with them: without any it would refuse all.
+        // If endpoints arrive shard by shard, a scheduler starts with the first ones: without
+        // any it would refuse every request.
         let is_known =
             |a: &&Assignment| !view.is_partial() || endpoints(view, &a.shard).next().is_some();
-        let begun: Vec<(Epoch, Shard)> = assignments()
+        let started: Vec<(Epoch, Shard)> = assignments()
             .filter(|s| !self.all.contains_key(&s.epoch))
             .filter(is_known)
             .map(|s| (s.epoch, s.shard.clone()))
             .collect();
-        for epoch in over {
+        for epoch in ended {
             if let Some(assigned) = self.all.remove(&epoch) {
                 let event = Event::new(Step::SchedulerEnded).service(assigned.shard.service);
                 self.journal.note(event.epoch(epoch));
             }
         }
-        for (epoch, shard) in begun {
+        for (epoch, shard) in started {
             let event = Event::new(Step::SchedulerBegan).service(shard.service);
             self.journal.note(event.epoch(epoch));
             let mut scheduler = Scheduler::new(epoch, now);
@@ -97,7 +105,7 @@
                 routers: BTreeMap::new(),
                 endpoints: BTreeMap::new(),
                 introduces: false,
-                told: BTreeSet::new(),
+                synced: BTreeSet::new(),
                 inquiries: self.inquiries.clone(),
             };
             self.all.insert(epoch, assigned);
@@ -127,7 +135,7 @@
         self.tick(now, batch);
     }
 
-    /// Takes a router's reports; false if this VM has no such epoch.
+    /// Handles a router's reports. Returns false if this VM runs no scheduler of that epoch.
     pub(crate) fn reports<R>(
         &mut self,
         now: Millis,
@@ -143,32 +151,33 @@
             return false;
         };
         for report in reports {
-            let effects = assigned.report(now, vm, report, &self.metrics);
-            assigned.act(effects, batch, &self.journal, &self.metrics);
+            let effects = assigned.handle_report(now, vm, report, &self.metrics);
+            assigned.perform(effects, batch, &self.journal, &self.metrics);
         }
         true
     }
 
-    /// Grants what the reports of a round have made possible.
+    /// Sends the grants that the reports of a round have made possible.
     pub(crate) fn flush(&mut self, now: Millis, batch: &mut Batch) {
         for assigned in self.all.values_mut() {
             let effects = assigned.scheduler.flush(now);
-            assigned.act(effects, batch, &self.journal, &self.metrics);
+            assigned.perform(effects, batch, &self.journal, &self.metrics);
         }
     }
 
-    /// Ends sessions whose link was lost.
+    /// Closes the sessions of a router whose link was lost.
     pub(crate) fn link_down(&mut self, now: Millis, vm: &Name) {
         for assigned in self.all.values_mut() {
-            // It stays known by its router, whose next hello settles its requests.
+            // The entry remains: the router's next hello names it and settles its requests.
             if let Some(session) = assigned.sessions.get(vm) {
                 assigned.scheduler.close(now, *session);
             }
         }
     }
 
-    /// What each scheduler has given, for those of its service in other regions.
-    pub(crate) fn served(&mut self, view: &View) -> Vec<(Assignment, Served)> {
+    /// The service that each scheduler has granted, with the schedulers of the same service that
+    /// it is sent to.
+    pub(crate) fn take_served(&mut self, view: &View) -> Vec<(Assignment, Served)> {
         let mut all = Vec::new();
         for assigned in self.all.values_mut() {
             let other = |s: &&Assignment| {
@@ -184,14 +193,14 @@
         all
     }
 
-    /// What engines of each scheduler have come to keep, for the others of its service in its
-    /// region: prompts must not be copied to another one.
-    pub(crate) fn kept(&mut self, view: &View) -> Vec<(Assignment, Vec<Kept>)> {
+    /// Newly cached prompts of each scheduler's engines, with the schedulers of the same service
+    /// and region that they are sent to, so that these do not copy the prompts to another engine.
+    pub(crate) fn take_kept(&mut self, view: &View) -> Vec<(Assignment, Vec<Kept>)> {
         let mut all = Vec::new();
         for assigned in self.all.values_mut() {
             let fresh = assigned.scheduler.tell_kept();
             if view.is_partial() {
-                // Others do not know where these engines are.
+                // Other schedulers do not know the addresses of these engines.
                 continue;
             }
             let shard = &assigned.shard;
@@ -201,10 +210,10 @@
             });
             let others: Vec<&Assignment> = others.collect();
             assigned
-                .told
+                .synced
                 .retain(|e| others.iter().any(|a| a.epoch == *e));
             for to in others {
-                let kept = match assigned.told.insert(to.epoch) {
+                let kept = match assigned.synced.insert(to.epoch) {
                     true => assigned.scheduler.all_kept(),
                     false => fresh.clone(),
                 };
@@ -216,8 +225,8 @@
         all
     }
 
-    /// Takes what engines of another scheduler keep.
-    pub(crate) fn hear_kept(&mut self, view: &View, from: &Name, kept: &[Kept]) {
+    /// Handles a message about prompts that engines of another scheduler have cached.
+    pub(crate) fn handle_kept(&mut self, view: &View, from: &Name, kept: &[Kept]) {
         for assigned in self.all.values_mut() {
             let shard = &assigned.shard;
             let is_other = |a: &&Assignment| {
@@ -231,8 +240,8 @@
         }
     }
 
-    /// Takes what a scheduler in another region has given.
-    pub(crate) fn hear_served(&mut self, view: &View, served: &Served) {
+    /// Handles a message about the service that another scheduler has granted.
+    pub(crate) fn handle_served(&mut self, view: &View, served: &Served) {
         let Some(assignment) = view.assignments.iter().find(|s| s.epoch == served.epoch) else {
             return;
         };
@@ -245,56 +254,57 @@
     }
 
     /// Whether a router has a session with a scheduler here.
-    pub(crate) fn serves(&self, vm: &Name) -> bool {
-        self.all.values().any(|r| r.sessions.contains_key(vm))
+    pub(crate) fn has_session(&self, vm: &Name) -> bool {
+        self.all.values().any(|a| a.sessions.contains_key(vm))
     }
 
-    /// Takes an endpoint's load report.
-    pub(crate) fn load(&mut self, now: Millis, endpoint: EndpointId, load: u32) {
+    /// Handles an endpoint's load report.
+    pub(crate) fn handle_load(&mut self, now: Millis, endpoint: EndpointId, load: u32) {
         for assigned in self.all.values_mut() {
             assigned.scheduler.slots().report(now, endpoint, load);
         }
     }
 
-    /// Takes what an engine has kept.
-    pub(crate) fn learn(
+    /// Handles an engine's list of cached prompts.
+    pub(crate) fn handle_contents(
         &mut self,
         now: Millis,
         endpoint: EndpointId,
-        told: &Contents,
+        contents: &Contents,
         batch: &mut Batch,
     ) {
         for assigned in self.all.values_mut() {
             if assigned.endpoints.contains_key(&endpoint) {
-                let effects = assigned
-                    .scheduler
-                    .learn(now, endpoint, told.born, &told.parts);
-                assigned.act(effects, batch, &self.journal, &self.metrics);
+                let effects =
+                    assigned
+                        .scheduler
+                        .learn(now, endpoint, contents.born, &contents.parts);
+                assigned.perform(effects, batch, &self.journal, &self.metrics);
             }
         }
     }
 
-    /// Lets time pass.
+    /// Advances timeouts and sends what has become due.
     pub(crate) fn tick(&mut self, now: Millis, batch: &mut Batch) {
         for assigned in self.all.values_mut() {
             let effects = assigned.scheduler.tick(now);
-            assigned.act(effects, batch, &self.journal, &self.metrics);
+            assigned.perform(effects, batch, &self.journal, &self.metrics);
         }
     }
 
-    /// Whether callers are to go to other routers, since this VM schedules for many.
+    /// Whether this VM schedules for so many routers that callers should use other ones.
     pub(crate) fn is_dedicated(&self, view: &View) -> bool {
         let routers = self.all.values().map(|a| a.scheduler.routers()).max();
         let shards = view.assignments.len().max(1);
         routers.is_some_and(|routers| assignment::is_dedicated(routers, shards))
     }
 
-    /// Shards that are scheduled here.
+    /// Shards of the schedulers here.
     pub(crate) fn shards(&self) -> Vec<Shard> {
-        self.all.values().map(|r| r.shard.clone()).collect()
+        self.all.values().map(|a| a.shard.clone()).collect()
     }
 
-    /// State of each shard, for operators.
+    /// State of each scheduler, for operators.
     pub(crate) fn status(&self, view: &View) -> Vec<ShardStatus> {
         let name = |id| {
             let customer = view.config.customers.get(&id);
@@ -314,8 +324,8 @@
         all.collect()
     }
 
-    /// Logs what each scheduler has given to whom, while work waits there.
-    fn tell_shares(&mut self, view: &View) {
+    /// Logs each customer's share of every scheduler where requests wait.
+    fn log_shares(&mut self, view: &View) {
         for (epoch, assigned) in &mut self.all {
             let shares = assigned.scheduler.take_shares();
             if assigned.scheduler.waiting() == 0 {
@@ -337,8 +347,8 @@
         }
     }
 
-    /// Logs what each scheduler believes.
-    fn tell_beliefs(&self, view: &View) {
+    /// Logs each scheduler's estimate of its queue and endpoints.
+    fn log_beliefs(&self, view: &View) {
         for (epoch, assigned) in &self.all {
             let belief = assigned.scheduler.belief();
             tracing::info!(
@@ -360,10 +370,10 @@
         }
     }
 
-    /// Brings the gauges up to date.
-    pub(crate) fn measure(&mut self, view: &View) {
-        self.tell_beliefs(view);
-        self.tell_shares(view);
+    /// Updates the gauges.
+    pub(crate) fn update_metrics(&mut self, view: &View) {
+        self.log_beliefs(view);
+        self.log_shares(view);
         for status in self.status(view) {
             let service = view.config.service_name(status.shard.service);
             let region = status.shard.region.as_str();
@@ -381,7 +391,7 @@
             for (customer, level) in &status.levels {
                 let labels = [service, region, customer.as_str()];
                 self.metrics
-                    .service
+                    .received_service
                     .with_label_values(&labels)
                     .set(gauge_value(*level));
             }
@@ -390,7 +400,14 @@
 }
 
 impl Assigned {
-    fn report(&mut self, now: Millis, vm: &Name, report: Report, metrics: &Metrics) -> Effects {
+    /// Handles a router's report.
+    fn handle_report(
+        &mut self,
+        now: Millis,
+        vm: &Name,
+        report: Report,
+        metrics: &Metrics,
+    ) -> Effects {
         let session = self.sessions.get(vm).copied();
         if let Report::Hello(hello) = report {
             let opened = self.scheduler.open(now, session, &hello);
@@ -401,7 +418,7 @@
             self.routers.insert(opened, vm.clone());
             return Effects::new();
         }
-        // Without a session, it belongs to one that has ended.
+        // A report without a session belongs to a session that has ended.
         let Some(session) = session else {
             return Effects::new();
         };
@@ -412,7 +429,7 @@
     }
 
     /// Logs a change of an endpoint's health.
-    fn tell(&self, line: Line, endpoint: EndpointId) {
+    fn log_health(&self, line: Line, endpoint: EndpointId) {
         tracing::info!(
             event = line.as_str(),
             endpoint = self
@@ -423,7 +440,8 @@
         );
     }
 
-    fn act(&self, effects: Effects, batch: &mut Batch, journal: &Journal, metrics: &Metrics) {
+    /// Adds the scheduler's messages to the batch, and logs health changes.
+    fn perform(&self, effects: Effects, batch: &mut Batch, journal: &Journal, metrics: &Metrics) {
         for effect in effects {
             match effect {
                 Effect::Grant(session, grant) => {
@@ -432,8 +450,8 @@
                     };
                     metrics.grants.inc();
                     if self.introduces {
-                        let named = std::iter::once(grant.endpoint).chain(grant.copy_from);
-                        for id in named {
+                        let ids = std::iter::once(grant.endpoint).chain(grant.copy_from);
+                        for id in ids {
                             let endpoint = self.endpoints.get(&id);
                             endpoint.inspect(|endpoint| batch.introduce(vm, id, endpoint));
                         }
@@ -447,18 +465,18 @@
                 }
                 Effect::Inquire(endpoint) => {
                     let address = self.endpoints.get(&endpoint).map(|e| e.address);
-                    let unknown = address.map(|address| Unknown { endpoint, address });
-                    if let (Some(unknown), Some(inquiries)) = (unknown, &self.inquiries) {
-                        // Its receiver ends only together with this process.
-                        let _ = inquiries.send(unknown);
+                    let inquiry = address.map(|address| Inquiry { endpoint, address });
+                    if let (Some(inquiry), Some(inquiries)) = (inquiry, &self.inquiries) {
+                        // The receiver ends only together with this process.
+                        let _ = inquiries.send(inquiry);
                     }
                 }
                 Effect::Ejected(endpoint) => {
-                    self.tell(Line::EndpointEjected, endpoint);
+                    self.log_health(Line::EndpointEjected, endpoint);
                     journal.note(Event::new(Step::Ejected).endpoint(endpoint));
                 }
                 Effect::Restored(endpoint) => {
-                    self.tell(Line::EndpointRestored, endpoint);
+                    self.log_health(Line::EndpointRestored, endpoint);
                     journal.note(Event::new(Step::Restored).endpoint(endpoint));
                 }
             }
--- a/components/node/src/shared.rs
+++ b/components/node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the reactor shows to the other parts of the process.
+//! State that the reactor publishes to the other parts of the process.
 
 use coordination::tree::Confirm;
 use serde::Serialize;
@@ -10,49 +10,49 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// What is in force, with the look-ups that each request needs.
+/// The view in force and the state of this process, as every request needs them.
 #[derive(Debug, Default)]
 pub(crate) struct Shared {
-    /// The view.
+    /// The view in force, with the endpoints that this process knows.
     pub(crate) view: Arc<View>,
-    /// Look-ups.
+    /// Look-up tables of the configuration.
     pub(crate) index: Arc<Index>,
     /// Whether the view is known to be current enough to serve.
     pub(crate) ready: bool,
     /// Whether this process is stopping.
     pub(crate) stopping: bool,
-    /// Whether it takes no more requests, since they might not end before it does.
+    /// Whether new requests are refused, because they might not end before the process does.
     pub(crate) closed: bool,
-    /// Whether new callers are to go to other routers, since this VM schedules for many.
+    /// Whether new callers should use other routers, because this VM schedules for many.
     pub(crate) is_dedicated: bool,
-    /// Whether far more requests are in progress here than at other routers.
+    /// Whether far more requests are in progress here than on other routers.
     pub(crate) is_hot: bool,
     /// Latest time at which this view was proved to be the newest.
     pub(crate) verified_at: Option<Millis>,
-    /// Routers that share the endpoints, as far as the schedulers tell.
+    /// Number of routers that share the endpoints, as far as this process knows.
     pub(crate) routers: u32,
 }
 
-/// What the reactor publishes.
+/// The published state, shared between readers.
 pub(crate) type Published = Arc<Shared>;
 
 /// State of a shard, for operators.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) struct ShardStatus {
-    /// The shard.
+    /// Service and region, and the data centre if the shard has one.
     pub(crate) shard: Shard,
-    /// Assigned.
+    /// Epoch of the scheduler.
     pub(crate) epoch: u64,
-    /// Slots of endpoints that take work.
+    /// Number of slots of endpoints that accept requests.
     pub(crate) slots: u32,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub(crate) running: usize,
-    /// Asks that wait.
+    /// Number of requests that wait for a grant.
     pub(crate) waiting: usize,
-    /// Routers with a session.
+    /// Number of routers with a session.
     pub(crate) routers: usize,
-    /// Virtual service of each customer.
+    /// Virtual time of the service that each customer has received.
     pub(crate) levels: BTreeMap<String, u64>,
 }
 
@@ -62,39 +62,39 @@
 pub(crate) struct Status {
     /// Name of the VM.
     pub(crate) vm: Name,
-    /// Incarnation.
+    /// Incarnation of the process, which changes with each start.
     pub(crate) incarnation: u64,
-    /// Version in force.
+    /// Version of the view in force.
     pub(crate) version: u64,
     /// Version of the configuration.
     pub(crate) config_version: u64,
-    /// Whether it is ready.
+    /// Whether the process serves requests.
     pub(crate) ready: bool,
-    /// Whether it is stopping.
+    /// Whether the process is stopping.
     pub(crate) stopping: bool,
-    /// Node that feeds it.
+    /// Node that sends the view to this process.
     pub(crate) parent: Option<Name>,
-    /// What it and those that it feeds have confirmed.
+    /// Versions confirmed by this process and all nodes below it.
     pub(crate) confirmed: Confirm,
     /// Peers with a link.
     pub(crate) peers: Vec<Name>,
-    /// Requests that wait here, by customer.
+    /// Number of requests that wait on this router, by customer.
     pub(crate) waiting: BTreeMap<String, u32>,
-    /// Requests in progress here.
+    /// Number of requests in progress on this router.
     pub(crate) held: usize,
-    /// Shards that this router has scheduled alone since it lost their scheduler.
+    /// Shards that this router schedules alone, because it cannot reach their scheduler.
     pub(crate) local: Vec<Shard>,
     /// Shards that are scheduled here.
     pub(crate) schedulers: Vec<ShardStatus>,
-    /// Fingerprints of requests that this process refuses, since they crash endpoints.
+    /// Fingerprints of requests that this process refuses, because they crash endpoints.
     pub(crate) quarantined: Vec<String>,
-    /// Data centres whose endpoints get no requests.
+    /// Data centres that are evacuated: their endpoints get no requests.
     pub(crate) evacuated: Vec<Name>,
     /// State of the replicated log, if this is a control VM.
     pub(crate) control: Option<serde_json::Value>,
 }
 
-/// Waits until a flag turns true, or nobody is left to turn it.
+/// Waits until a stop flag is set or its sender is dropped.
 pub(crate) async fn cancelled(flag: &mut watch::Receiver<bool>) {
-    let _ = flag.wait_for(|raised| *raised).await;
+    let _ = flag.wait_for(|is_set| *is_set).await;
 }
