--- a/components/coordination/src/dispatcher/spread.rs
+++ b/components/coordination/src/dispatcher/spread.rs
@@ -37,7 +37,7 @@
 
 /// Where a router stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Home {
+pub struct Location {
     /// Its region.
     pub region: Name,
     /// Its data centre.
@@ -120,7 +120,7 @@
 /// The shards of each service.
 #[derive(Clone, Debug)]
 pub(super) struct Spread {
-    home: Home,
+    home: Location,
     /// All that have endpoints, in any region.
     shards: BTreeSet<Shard>,
     /// Those with endpoints that take work.
@@ -130,7 +130,7 @@
 }
 
 impl Spread {
-    pub(super) fn new(home: Home) -> Self {
+    pub(super) fn new(home: Location) -> Self {
         Spread {
             home,
             shards: BTreeSet::new(),
@@ -160,7 +160,7 @@
         let copying =
             services.filter(|(_, s)| s.engine.is_some_and(|e| e.copy_tokens_per_s.is_some()));
         self.copying = copying.map(|(id, _)| *id).collect();
-        let counts = view.counts();
+        let counts = view.endpoint_counts();
         for shard in &self.shards {
             let open = open(view, &counts, shard);
             if open == 0 {
@@ -257,14 +257,14 @@
         F: Fn(&Shard) -> State,
     {
         let all = self.candidates.get(&arrival.service).into_iter().flatten();
-        let allowed = all.filter(|c| arrival.homes.allow(&c.shard.region));
+        let allowed = all.filter(|c| arrival.regions.contains(&c.shard.region));
         let mut order: SmallVec<[&Candidate; 8]> = allowed.collect();
         keep_one_region(&mut order, &self.home.region);
         self.keep_within_reach(&mut order);
         if order.len() < 2 {
             return order;
         }
-        let (key, tokens) = arrival.prompt.shared();
+        let (key, tokens) = arrival.prompt.shared_prefix();
         let here = order.iter().filter(|c| self.is_here(&c.shard));
         let stays = here.clone().any(|c| !state(&c.shard).is_busy);
         if tokens >= AFFINITY_TOKENS && !(stays && self.copying.contains(&arrival.service)) {
@@ -323,7 +323,7 @@
             && shard.data_centre.as_ref().is_none_or(is_here)
             && !view.is_evacuated(&count.data_centre)
     };
-    let open: u32 = counts.iter().filter(is_covered).map(|c| c.open).sum();
+    let open: u32 = counts.iter().filter(is_covered).map(|c| c.available).sum();
     let cells = shard.cell.map_or(1, |cell| u32::from(cell.of));
     open.div_ceil(cells.max(1))
 }
--- a/components/coordination/tests/decisions.rs
+++ b/components/coordination/tests/decisions.rs
@@ -1,23 +1,23 @@
 //! The smaller decisions, one by one.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
-use coordination::ask::{Ask, Class, Held, Hello, Known, Seq, Served, Verdict};
-use coordination::health::{Change, Health, EJECT_MS, FAILURES};
+use coordination::health::{Change, Health, EJECT_FAILURES, EJECT_MIN_MS};
 use coordination::ledger::{virtual_cost, Ledger};
 use coordination::limit::Bucket;
+use coordination::messages::{Ask, Class, Held, Hello, Seq, Served, Usage, Verdict};
 use coordination::platform::{Change as ListChange, Entry, State, Watch};
 use coordination::prompt::Prompt;
-use coordination::retry::{after, Bounds, Budget, Next, Reach, Try};
-use coordination::rule::{decide, idempotent, shadowed, Request};
+use coordination::retry::{decide, Action, Bounds, Budget, Failure, Reach};
+use coordination::rule::{first_match, is_idempotent, shadowed, Request};
 use coordination::scheduler::{Effect, Effects, Scheduler, Session, GATHER_MS, ORPHAN_MS};
-use coordination::slot::{Claims, Slots, Wish};
-use coordination::tree::{Confirm, Tree, Welcome};
+use coordination::slot::{Criteria, Reservations, Slots};
+use coordination::tree::{Attachment, Confirmation, Tree};
 use rstest::rstest;
 use state::clock::Millis;
 use state::config::{Cost, Endpoint, Rule, Service, Then, When};
 use state::id::{CustomerId, EndpointId, Epoch, Name, Version};
 use state::route::Routes;
-use state::view::{Place, View};
+use state::view::{Node, View};
 
 const A: CustomerId = CustomerId(1);
 const B: CustomerId = CustomerId(2);
@@ -62,9 +62,9 @@
 #[test]
 fn can_remember_twice_without_counting_twice() {
     let mut ledger = Ledger::default();
-    ledger.remember(A, 700);
-    ledger.remember(A, 700);
-    ledger.remember(A, 300);
+    ledger.restore(A, 700);
+    ledger.restore(A, 700);
+    ledger.restore(A, 300);
     assert_eq!(ledger.settled(A), 700);
 }
 
@@ -79,7 +79,7 @@
     let mut bucket = Bucket::new(10, Millis(0));
     let mut started = 0;
     for ms in 0..=3000 {
-        while bucket.ready(Millis(ms)) {
+        while bucket.has_token(Millis(ms)) {
             bucket.take(Millis(ms));
             started += 1;
         }
@@ -152,54 +152,54 @@
 }
 
 #[rstest]
-#[case::nothing_sent(Reach::Nothing, false, 0, Next::Again)]
-#[case::nothing_sent_no_retries(Reach::Nothing, false, 2, Next::NotRun)]
-#[case::sent_once(Reach::Sent, false, 0, Next::Unknown)]
-#[case::sent_idempotent(Reach::Sent, true, 0, Next::Again)]
-#[case::sent_too_often(Reach::Sent, true, 2, Next::Unknown)]
-#[case::earlier_try_was_sent(Reach::Nothing, true, 2, Next::Unknown)]
-#[case::answer_has_begun(Reach::Answering, true, 0, Next::Unknown)]
+#[case::nothing_sent(Reach::Nothing, false, 0, Action::Retry)]
+#[case::nothing_sent_no_retries(Reach::Nothing, false, 2, Action::NotRun)]
+#[case::sent_once(Reach::Sent, false, 0, Action::Unknown)]
+#[case::sent_idempotent(Reach::Sent, true, 0, Action::Retry)]
+#[case::sent_too_often(Reach::Sent, true, 2, Action::Unknown)]
+#[case::earlier_try_was_sent(Reach::Nothing, true, 2, Action::Unknown)]
+#[case::answer_has_begun(Reach::Answering, true, 0, Action::Unknown)]
 fn can_decide_what_follows_a_failed_try(
     #[case] reach: Reach,
     #[case] idempotent: bool,
     #[case] retries: u32,
-    #[case] next: Next,
+    #[case] next: Action,
 ) {
-    let attempt = Try {
+    let attempt = Failure {
         reach,
         idempotent,
         retries,
         retries_max: 2,
         deadline: Millis(100),
     };
-    assert_eq!(after(attempt, Millis(0), &mut earned()), next);
+    assert_eq!(decide(attempt, Millis(0), &mut earned()), next);
 }
 
 #[test]
 fn can_give_up_at_once_past_the_deadline() {
-    let attempt = Try {
+    let attempt = Failure {
         reach: Reach::Nothing,
         idempotent: true,
         retries: 0,
         retries_max: 2,
         deadline: Millis(100),
     };
-    assert_eq!(after(attempt, Millis(100), &mut earned()), Next::NotRun);
+    assert_eq!(decide(attempt, Millis(100), &mut earned()), Action::NotRun);
 }
 
 #[test]
 fn can_eject_an_endpoint_and_probe_it_with_one_request() {
     let mut health = Health::default();
-    for _ in 1..FAILURES {
-        assert_eq!(health.failed(Millis(0)), Change::None);
+    for _ in 1..EJECT_FAILURES {
+        assert_eq!(health.record_failure(Millis(0)), Change::None);
     }
-    assert_eq!(health.failed(Millis(0)), Change::Ejected);
-    assert_eq!(health.capacity(Millis(EJECT_MS - 1), 8), 0);
-    assert_eq!(health.capacity(Millis(EJECT_MS), 8), 1);
-    assert_eq!(health.failed(Millis(EJECT_MS)), Change::Ejected);
-    assert_eq!(health.capacity(Millis(EJECT_MS * 2), 8), 0);
-    assert_eq!(health.fine(), Change::Restored);
-    assert_eq!(health.capacity(Millis(EJECT_MS * 2), 8), 8);
+    assert_eq!(health.record_failure(Millis(0)), Change::Ejected);
+    assert_eq!(health.capacity(Millis(EJECT_MIN_MS - 1), 8), 0);
+    assert_eq!(health.capacity(Millis(EJECT_MIN_MS), 8), 1);
+    assert_eq!(health.record_failure(Millis(EJECT_MIN_MS)), Change::Ejected);
+    assert_eq!(health.capacity(Millis(EJECT_MIN_MS * 2), 8), 0);
+    assert_eq!(health.record_success(), Change::Restored);
+    assert_eq!(health.capacity(Millis(EJECT_MIN_MS * 2), 8), 8);
 }
 
 #[test]
@@ -207,8 +207,8 @@
     // Symptom: slots stand empty though nobody else uses the endpoint.
     // Sequence: four requests run and end; a report of a second ago says four.
     // Cause: a late report that is set against what runs now.
-    let wish = Wish {
-        asker: None,
+    let criteria = Criteria {
+        session: None,
         prompt: Prompt::default(),
         avoid: None,
         aim_ms: 600,
@@ -219,34 +219,34 @@
     let mut slots = Slots::default();
     slots.set(id, 4, 0, false);
     for _ in 0..4 {
-        let taken = slots.choose(Millis(0), wish, &mut Claims::default());
+        let taken = slots.choose(Millis(0), criteria, &mut Reservations::default());
         assert_eq!(taken, Some(id));
-        slots.take(Millis(0), id, wish.prompt);
+        slots.acquire(Millis(0), id, criteria.prompt);
     }
     for _ in 0..4 {
-        slots.free(Millis(900), id, Some(Verdict::Fine));
+        slots.release(Millis(900), id, Some(Verdict::Fine));
     }
-    slots.report(Millis(1000), id, 4);
-    assert!(slots.any_free(Millis(1000)));
+    slots.report_load(Millis(1000), id, 4);
+    assert!(slots.has_free_slot(Millis(1000)));
     // Beyond ours, it is someone else's work.
-    slots.report(Millis(1000), id, 8);
-    assert!(!slots.any_free(Millis(1000)));
+    slots.report_load(Millis(1000), id, 8);
+    assert!(!slots.has_free_slot(Millis(1000)));
 }
 
 #[test]
 fn can_prefer_an_endpoint_that_has_seen_the_prefix_while_loads_are_near() {
-    let wish = |prefix| Wish {
-        asker: None,
-        prompt: Prompt::of_prefix(prefix),
+    let criteria = |prefix| Criteria {
+        session: None,
+        prompt: Prompt::from_prefix_key(prefix),
         avoid: None,
         aim_ms: 600,
         slack_ms: 0,
         only_in_time: false,
     };
     let take = |slots: &mut Slots, prefix| {
-        let wish = wish(prefix);
-        let id = slots.choose(Millis(0), wish, &mut Claims::default())?;
-        slots.take(Millis(0), id, wish.prompt);
+        let criteria = criteria(prefix);
+        let id = slots.choose(Millis(0), criteria, &mut Reservations::default())?;
+        slots.acquire(Millis(0), id, criteria.prompt);
         Some(id)
     };
     let mut slots = Slots::default();
@@ -299,7 +299,7 @@
             data_centre: &data_centre,
             size,
         };
-        decide(&rules, &Routes::from(&rules[..]), &request).map(|(place, _)| place)
+        first_match(&rules, &Routes::from(&rules[..]), &request).map(|(place, _)| place)
     };
     assert_eq!(decided("/a/b/c", 0), Some(0));
     assert_eq!(decided("/a/c", 0), Some(1));
@@ -331,7 +331,7 @@
         engine: None,
         cold: None,
     };
-    assert_eq!(idempotent(rule, &service, method), twice);
+    assert_eq!(is_idempotent(rule, &service, method), twice);
 }
 
 fn ask(seq: u64, customer: CustomerId, concurrency: u32, rate: u32) -> Ask {
@@ -361,14 +361,14 @@
 fn scheduler(slots: u32) -> (Scheduler, Session) {
     let mut scheduler = Scheduler::new(Epoch(1), Millis(0));
     scheduler.slots().set(EndpointId(1), slots, 0, false);
-    let session = scheduler.open(Millis(0), None, &Hello::default());
+    let session = scheduler.open_session(Millis(0), None, &Hello::default());
     (scheduler, session)
 }
 
 #[test]
 fn can_hold_a_concurrency_limit_over_all_routers() {
     let (mut scheduler, first) = scheduler(8);
-    let second = scheduler.open(Millis(0), None, &Hello::default());
+    let second = scheduler.open_session(Millis(0), None, &Hello::default());
     let now = Millis(GATHER_MS);
     assert_eq!(granted(&scheduler.ask(now, first, ask(1, A, 2, 0))), [1]);
     assert_eq!(granted(&scheduler.ask(now, second, ask(2, A, 2, 0))), [2]);
@@ -400,7 +400,7 @@
     // Cause: grants before all routers have told what they hold.
     let mut scheduler = Scheduler::new(Epoch(2), Millis(0));
     scheduler.slots().set(EndpointId(1), 1, 0, false);
-    let first = scheduler.open(Millis(1), None, &Hello::default());
+    let first = scheduler.open_session(Millis(1), None, &Hello::default());
     assert!(scheduler.ask(Millis(1), first, ask(1, A, 0, 0)).is_empty());
     let held = Held {
         seq: Seq(5),
@@ -416,7 +416,7 @@
         held: vec![held],
         ..Hello::default()
     };
-    let second = scheduler.open(Millis(50), None, &holding);
+    let second = scheduler.open_session(Millis(50), None, &holding);
     assert!(scheduler.tick(Millis(GATHER_MS)).is_empty());
     let done = scheduler.done(Millis(GATHER_MS), second, Seq(5), 10, Verdict::Fine);
     assert_eq!(granted(&done), [1]);
@@ -427,21 +427,21 @@
     // Symptom: a customer that is behind by right is set equal to the others.
     // Sequence: a new scheduler hears first of the customer that is ahead.
     // Cause: the one that comes later is lifted to whoever came first.
-    let known = |customer, level, spent| Known {
+    let known = |customer, level, spent| Usage {
         customer,
         level,
         spent,
     };
     let remembering = |known, floor| Hello {
-        known: vec![known],
+        usage: vec![known],
         floor,
         ..Hello::default()
     };
     let mut scheduler = Scheduler::new(Epoch(2), Millis(0));
     scheduler.slots().set(EndpointId(1), 1, 0, false);
-    let first = scheduler.open(Millis(1), None, &remembering(known(A, 9000, 500), 5000));
+    let first = scheduler.open_session(Millis(1), None, &remembering(known(A, 9000, 500), 5000));
     scheduler.ask(Millis(1), first, ask(1, A, 0, 0));
-    let second = scheduler.open(Millis(2), None, &remembering(known(B, 6000, 0), 5500));
+    let second = scheduler.open_session(Millis(2), None, &remembering(known(B, 6000, 0), 5500));
     scheduler.ask(Millis(2), second, ask(2, B, 0, 0));
     assert_eq!(granted(&scheduler.tick(Millis(GATHER_MS))), [2]);
     assert_eq!(scheduler.levels(), [(A, 9500), (B, 6000)]);
@@ -452,8 +452,8 @@
     let (mut scheduler, session) = scheduler(1);
     let now = Millis(GATHER_MS);
     scheduler.ask(now, session, ask(1, A, 0, 0));
-    scheduler.close(now, session);
-    let other = scheduler.open(now, None, &Hello::default());
+    scheduler.close_session(now, session);
+    let other = scheduler.open_session(now, None, &Hello::default());
     assert!(scheduler.ask(now, other, ask(9, B, 0, 0)).is_empty());
     assert_eq!(granted(&scheduler.tick(now.after(ORPHAN_MS))), [9]);
 }
@@ -463,13 +463,13 @@
     let (mut scheduler, session) = scheduler(1);
     let now = Millis(GATHER_MS);
     scheduler.ask(now, session, ask(1, A, 0, 0));
-    scheduler.close(now, session);
-    let reborn = scheduler.open(now, Some(session), &Hello::default());
+    scheduler.close_session(now, session);
+    let reborn = scheduler.open_session(now, Some(session), &Hello::default());
     assert_eq!(granted(&scheduler.ask(now, reborn, ask(1, A, 0, 0))), [1]);
 }
 
-fn place(n: usize) -> Place {
-    Place {
+fn place(n: usize) -> Node {
+    Node {
         vm: name(&format!("r{n}")),
         address: "127.0.0.1:7001".parse().unwrap(),
     }
@@ -483,8 +483,8 @@
     // sends them on.
     // Cause: it named the same other one to all; that one had to send the whole
     // configuration to every router.
-    let roots: Vec<Place> = ["c1", "c2", "c3"]
-        .map(|vm| Place {
+    let roots: Vec<Node> = ["c1", "c2", "c3"]
+        .map(|vm| Node {
             vm: name(vm),
             address: "127.0.0.1:7001".parse().unwrap(),
         })
@@ -492,11 +492,11 @@
     let mut tree = Tree::new(8);
     let mut sent: std::collections::BTreeMap<Name, u32> = std::collections::BTreeMap::new();
     for n in 0..8 {
-        let to = tree.send_away(&roots, &name("c1"), &name(&format!("r{n}")));
+        let to = tree.redirect(&roots, &name("c1"), &name(&format!("r{n}")));
         *sent.entry(to.unwrap().vm).or_default() += 1;
     }
     assert_eq!(sent.into_values().collect::<Vec<_>>(), [4, 4]);
-    assert_eq!(tree.send_away(&roots[..1], &name("c1"), &name("r1")), None);
+    assert_eq!(tree.redirect(&roots[..1], &name("c1"), &name("r1")), None);
 }
 
 #[test]
@@ -506,27 +506,27 @@
     // step and asks its parent again.
     // Cause: a parent that takes it for a new child, while the child tells only
     // what changes.
-    let place = |n: u8| Place {
+    let place = |n: u8| Node {
         vm: name(&format!("r{n}")),
         address: format!("127.0.0.{n}:1").parse().unwrap(),
     };
     let mut tree = Tree::new(2);
-    tree.welcome(place(1), &name("dc-1"), Version(4));
-    let confirm = Confirm {
+    tree.attach(place(1), &name("dc-1"), Version(4));
+    let confirm = Confirmation {
         version: Version(5),
         routers: 3,
         slowest: [name("r1")].into_iter().collect(),
     };
     tree.confirm(&name("r1"), confirm.clone());
     assert_eq!(
-        tree.welcome(place(1), &name("dc-1"), Version(4)),
-        Welcome::Child
+        tree.attach(place(1), &name("dc-1"), Version(4)),
+        Attachment::Child
     );
-    assert_eq!(tree.total(None), confirm);
+    assert_eq!(tree.aggregate(None), confirm);
     // One whose link was lost is a new child.
-    tree.lost(&name("r1"));
-    tree.welcome(place(1), &name("dc-1"), Version(4));
-    assert_eq!(tree.total(None).routers, 1);
+    tree.detach(&name("r1"));
+    tree.attach(place(1), &name("dc-1"), Version(4));
+    assert_eq!(tree.aggregate(None).routers, 1);
 }
 
 #[test]
@@ -536,9 +536,9 @@
     for n in 1..=340 {
         let mut at = 0;
         loop {
-            match nodes[at].welcome(place(n), &name("dc-1"), Version(1)) {
-                Welcome::Child => break,
-                Welcome::Elsewhere(next) => {
+            match nodes[at].attach(place(n), &name("dc-1"), Version(1)) {
+                Attachment::Child => break,
+                Attachment::Redirect(next) => {
                     at = next.vm.as_str()[1..].parse().unwrap();
                 }
             }
@@ -560,11 +560,11 @@
     for n in 1..=300_u16 {
         let mut at = 0;
         let of = centre_of(usize::from(n));
-        let place = Place {
+        let place = Node {
             vm: name(&format!("r{n}")),
             address: "127.0.0.1:1".parse().unwrap(),
         };
-        while let Welcome::Elsewhere(next) = nodes[at].welcome(place.clone(), of, Version(1)) {
+        while let Attachment::Redirect(next) = nodes[at].attach(place.clone(), of, Version(1)) {
             at = next.vm.as_str()[1..].parse().unwrap();
         }
         crossings += usize::from(at == 0 || centre_of(at) != of);
@@ -579,19 +579,19 @@
 #[test]
 fn can_tell_operators_which_routers_lag() {
     let mut tree = Tree::new(4);
-    tree.welcome(place(1), &name("dc-1"), Version(5));
-    tree.welcome(place(2), &name("dc-1"), Version(7));
+    tree.attach(place(1), &name("dc-1"), Version(5));
+    tree.attach(place(2), &name("dc-1"), Version(7));
     let own = name("c1");
-    let total = tree.total(Some((&own, Version(7))));
+    let total = tree.aggregate(Some((&own, Version(7))));
     assert_eq!((total.version, total.routers), (Version(5), 3));
     assert_eq!(total.slowest.to_vec(), [name("r1")]);
-    let confirm = Confirm {
+    let confirm = Confirmation {
         version: Version(7),
         routers: 4,
         slowest: Default::default(),
     };
     tree.confirm(&name("r1"), confirm);
-    let total = tree.total(Some((&own, Version(7))));
+    let total = tree.aggregate(Some((&own, Version(7))));
     assert_eq!((total.version, total.routers), (Version(7), 6));
 }
 
@@ -620,7 +620,7 @@
     // Cause: totals that are added instead of their growth.
     let (mut scheduler, _) = scheduler(1);
     let mut hear = |epoch, all, totals: &[(CustomerId, u64)]| {
-        scheduler.hear_served(&Served {
+        scheduler.merge_served(&Served {
             epoch: Epoch(epoch),
             all,
             totals: totals.to_vec(),
@@ -649,7 +649,7 @@
             data_centre: name("dc"),
             region: name("main"),
             slots: 1,
-            lead: 0,
+            prefetch: 0,
         };
         view.config
             .endpoints
@@ -672,16 +672,19 @@
     let e1 = EndpointId(1);
     assert_eq!(
         watch.compare(&view, &leaving).to_vec(),
-        [ListChange::Leaves(e1)]
+        [ListChange::Leaving(e1)]
     );
     // It says so until it is in force, and once it is, no more.
     assert_eq!(
         watch.compare(&view, &leaving).to_vec(),
-        [ListChange::Leaves(e1)]
+        [ListChange::Leaving(e1)]
     );
     view.leaving.insert(e1);
     assert!(watch.compare(&view, &leaving).is_empty());
-    assert_eq!(watch.compare(&view, &list).to_vec(), [ListChange::Back(e1)]);
+    assert_eq!(
+        watch.compare(&view, &list).to_vec(),
+        [ListChange::Returned(e1)]
+    );
 }
 
 #[test]
@@ -707,7 +710,7 @@
     watch.compare(&view, &list);
     assert!(watch.compare(&view, &list[..3]).is_empty());
     let words = watch.compare(&view, &list[..3]);
-    assert_eq!(words.to_vec(), [ListChange::Leaves(EndpointId(4))]);
+    assert_eq!(words.to_vec(), [ListChange::Leaving(EndpointId(4))]);
 }
 
 #[test]
@@ -717,7 +720,7 @@
     let mut serve = |seq, customer| {
         scheduler.ask(now, session, ask(seq, customer, 0, 0));
         scheduler.done(now, session, Seq(seq), 10, Verdict::Fine);
-        let told = scheduler.tell_served();
+        let told = scheduler.take_served();
         (told.all, told.totals)
     };
     assert_eq!(serve(1, A), (true, vec![(A, 10_000)]));
@@ -735,8 +738,8 @@
     // Symptom: a flood of refused requests takes more for its log than for its answers.
     // Sequence: ten times the ceiling in one second, then a calm one.
     // Cause: a line for each of them.
-    let mut ceiling = coordination::limit::Ceiling::new(100);
-    let second = |ceiling: &mut coordination::limit::Ceiling, at: u64, lines: u64| {
+    let mut ceiling = coordination::limit::Window::new(100);
+    let second = |ceiling: &mut coordination::limit::Window, at: u64, lines: u64| {
         let times = (0..lines).map(|n| Millis(at * 1000 + n * 1000 / lines));
         times.filter(|now| ceiling.admits(*now)).count()
     };
@@ -749,35 +752,35 @@
 /// has heard that the first one was taken.
 #[test]
 fn can_count_what_a_router_spent_once_through_two_hellos() {
-    let known = |spent| Known {
+    let known = |spent| Usage {
         customer: A,
         level: 0,
         spent,
     };
-    let hello = |telling, spent| Hello {
-        known: vec![known(spent)],
-        telling,
+    let hello = |usage_id, spent| Hello {
+        usage: vec![known(spent)],
+        usage_id,
         ..Hello::default()
     };
     let mut scheduler = Scheduler::new(Epoch(2), Millis(0));
     scheduler.slots().set(EndpointId(1), 4, 0, false);
-    let other = scheduler.open(Millis(1), None, &Hello::default());
-    let first = scheduler.open(Millis(300), None, &hello(7, 500));
+    let other = scheduler.open_session(Millis(1), None, &Hello::default());
+    let first = scheduler.open_session(Millis(300), None, &hello(7, 500));
     // Another router's ask lets what was spent be settled.
     scheduler.ask(Millis(310), other, ask(1, B, 0, 0));
     scheduler.tick(Millis(310));
     assert_eq!(scheduler.levels().first(), Some(&(A, 500)));
-    let second = scheduler.open(Millis(320), Some(first), &hello(7, 500));
+    let second = scheduler.open_session(Millis(320), Some(first), &hello(7, 500));
     scheduler.ask(Millis(330), other, ask(2, B, 0, 0));
     scheduler.tick(Millis(330));
     assert_eq!(scheduler.levels().first(), Some(&(A, 500)));
     // What it has spent since is told with the next one, and counts.
-    let third = scheduler.open(Millis(340), Some(second), &hello(7, 700));
+    let third = scheduler.open_session(Millis(340), Some(second), &hello(7, 700));
     scheduler.ask(Millis(350), other, ask(3, B, 0, 0));
     scheduler.tick(Millis(350));
     assert_eq!(scheduler.levels().first(), Some(&(A, 700)));
     // Once it has heard that, it tells only what came after.
-    scheduler.open(Millis(360), Some(third), &hello(8, 40));
+    scheduler.open_session(Millis(360), Some(third), &hello(8, 40));
     scheduler.ask(Millis(370), other, ask(4, B, 0, 0));
     scheduler.tick(Millis(370));
     assert_eq!(scheduler.levels().first(), Some(&(A, 740)));
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -4,21 +4,21 @@
 use crate::input::Input as ReactorInput;
 use crate::journal::Journal;
 use crate::metric::{gauge_value, Metrics};
-use coordination::agree::{Admission, Core, Index, Ready, Refusal, Role, Snapshot, Term};
 use coordination::assignment::{Assigner, Site};
+use coordination::consensus::{Admission, Core, Index, Ready, Refusal, Role, Snapshot, Term};
 use errors::{Error, Result};
 use protocol::codec;
-use protocol::wire::{Hello, Leaving, Message, Query, Reply};
+use protocol::wire::{Drain, Hello, Message, Query, Reply};
 use serde::{Deserialize, Serialize};
 use state::clock::Millis;
 use state::delta::Delta;
-use state::event::{Event, Step};
+use state::event::{Event, Kind};
 use state::id::{Name, Version};
 use state::line::Line;
-use state::record::{Disk, Member, Record};
+use state::record::{DiskId, Member, Record};
 use state::store::{Document, Store};
 use state::suspect::Evidence;
-use state::view::{Departure, Place, Shard};
+use state::view::{Departure, Node, Shard};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -52,7 +52,7 @@
     /// The shards that have endpoints.
     Shards(BTreeSet<Shard>),
     /// The control VMs in the settings have changed.
-    Seeds(Vec<Place>),
+    Seeds(Vec<Node>),
     /// Ends the thread.
     Stop,
 }
@@ -86,9 +86,9 @@
 /// Dependencies and settings of the control role.
 pub(crate) struct Parts {
     /// Name and address of this VM.
-    pub(crate) place: Place,
+    pub(crate) place: Node,
     /// Control VMs named in the settings.
-    pub(crate) seeds: Vec<Place>,
+    pub(crate) seeds: Vec<Node>,
     /// Rule for which VMs may become members.
     pub(crate) admission: Admission,
     /// Folder of the log and its snapshots.
@@ -121,9 +121,9 @@
     /// Shards that have endpoints.
     shards: BTreeSet<Shard>,
     /// Members as last sent to the reactor.
-    members: Vec<Place>,
+    members: Vec<Node>,
     /// Addresses of peers with a link, from their greetings.
-    places: HashMap<Name, Place>,
+    places: HashMap<Name, Node>,
     /// Queries that wait for an entry to be applied, by its index: term of the entry, VM that
     /// asked, and ID of the query.
     waiters: BTreeMap<Index, (Term, Name, u64)>,
@@ -146,18 +146,21 @@
     ///
     /// If the disk cannot be read or its contents are damaged.
     pub(crate) fn open(parts: Parts) -> Result<Self> {
-        let (mut folder, start) = Folder::open(&parts.data, Disk(rand::random()))?;
+        let (mut folder, start) = Folder::open(&parts.data, DiskId(rand::random()))?;
         folder.set_compact_bytes(parts.compact_bytes);
         let store = restore(&start.snapshot)?;
         let me = Member {
             disk: folder.identity(),
-            place: parts.place.clone(),
+            node: parts.place.clone(),
         };
         let mut core = Core::new(me, parts.seeds.clone(), start, parts.clock.now());
-        core.admit_by(match parts.admission {
+        core.set_admission(match parts.admission {
             Admission::Seeds => Admission::Seeds,
-            Admission::Open { begins, voters } => Admission::Open {
-                begins: folder.begins(begins)?,
+            Admission::Open {
+                may_bootstrap: begins,
+                voters,
+            } => Admission::Open {
+                may_bootstrap: folder.may_bootstrap(begins)?,
                 voters,
             },
         });
@@ -223,7 +226,7 @@
             }
             Input::Down(vm) => {
                 self.places.remove(&vm);
-                self.assigner.lost(&vm);
+                self.assigner.remove(&vm);
             }
             Input::Message(vm, message) => self.handle_message(now, &vm, message),
             // The receiver may have been dropped.
@@ -249,20 +252,20 @@
             return;
         };
         match message {
-            Message::Agree(envelope) if self.is_control(vm) => {
+            Message::Consensus(envelope) if self.is_control(vm) => {
                 self.core.step(now, &place, envelope);
             }
-            Message::Beat {
+            Message::Heartbeat {
                 region,
                 data_centre,
                 incarnation,
             } => {
                 let site = Site {
-                    place,
+                    node: place,
                     region,
                     data_centre,
                 };
-                self.assigner.heard(now, site, incarnation);
+                self.assigner.record_heartbeat(now, site, incarnation);
             }
             Message::Query(id, query) => self.handle_query(now, vm, id, query),
             _ => {}
@@ -286,8 +289,8 @@
             return;
         }
         let record = match query {
-            Query::Head => {
-                self.reply(vm, id, Reply::Head(self.store.view.version));
+            Query::CurrentVersion => {
+                self.reply(vm, id, Reply::CurrentVersion(self.store.view.version));
                 return;
             }
             other => self.record(other),
@@ -312,7 +315,7 @@
     /// Converts a query into a log record, or explains why it is invalid.
     fn record(&self, query: Query) -> Result<Record, String> {
         match query {
-            Query::Head => Ok(Record::Blank),
+            Query::CurrentVersion => Ok(Record::NoOp),
             Query::Claim {
                 key,
                 customer,
@@ -341,11 +344,11 @@
                 Ok(Record::Change { id, base, delta })
             }
             Query::Release(release) => Ok(Record::Release(release)),
-            Query::Suspects(evidence) => Ok(Record::Suspects {
+            Query::Evidence(evidence) => Ok(Record::Suspects {
                 at: self.parts.clock.stamp(),
                 evidence,
             }),
-            Query::Depart(leaving) => self.departure(leaving).map(Record::Departure),
+            Query::Drain(leaving) => self.departure(leaving).map(Record::Departure),
             Query::Evacuation(order) => Ok(Record::Evacuation {
                 at: self.parts.clock.stamp(),
                 order,
@@ -354,15 +357,15 @@
     }
 
     /// Converts the names in an announcement of a departure into IDs.
-    fn departure(&self, leaving: Leaving) -> Result<Departure, String> {
+    fn departure(&self, leaving: Drain) -> Result<Departure, String> {
         let endpoint = |name: &Name| {
             let found = self.store.view.config.endpoint(name);
             found.ok_or_else(|| format!("no endpoint {name} is in force"))
         };
         match leaving {
-            Leaving::Endpoint(name) => endpoint(&name).map(Departure::Endpoint),
-            Leaving::EndpointBack(name) => endpoint(&name).map(Departure::EndpointBack),
-            Leaving::Vm(name, incarnation) => Ok(Departure::Vm(name, incarnation)),
+            Drain::Endpoint(name) => endpoint(&name).map(Departure::Endpoint),
+            Drain::EndpointBack(name) => endpoint(&name).map(Departure::EndpointBack),
+            Drain::Vm(name, incarnation) => Ok(Departure::Vm(name, incarnation)),
         }
     }
 
@@ -374,7 +377,7 @@
             self.send_to_reactor(ReactorInput::Leadership(leads));
             self.log_role(leads);
             if leads {
-                self.assigner.begin(now);
+                self.assigner.reset(now);
             } else {
                 self.reject_waiters();
             }
@@ -386,7 +389,7 @@
         for assignment in self.assigner.plan(now, &self.store.view, &self.shards) {
             tracing::info!(
                 event = Line::SchedulerAssigned.as_str(),
-                vm = %assignment.place.vm,
+                vm = %assignment.node.vm,
                 epoch = assignment.epoch.0,
                 service = self.store.view.config.service_name(assignment.shard.service),
                 region = %assignment.shard.region,
@@ -421,10 +424,10 @@
         let term = self.core.term().0;
         let step = if leads {
             tracing::info!(event = Line::LeaderBegan.as_str(), term);
-            Step::LeaderBegan
+            Kind::LeaderBegan
         } else {
             tracing::info!(event = Line::LeaderEnded.as_str(), term);
-            Step::LeaderEnded
+            Kind::LeaderEnded
         };
         self.parts
             .journal
@@ -447,14 +450,14 @@
                 break;
             }
             if ready.must_sync() {
-                let hard = self.core.hard();
+                let hard = self.core.ballot();
                 self.folder.write(&ready, hard)?;
                 let last = self.core.log().last();
                 self.core.synced(last);
             }
             self.carry_out(ready)?;
         }
-        if self.folder.wants_snapshot() {
+        if self.folder.needs_snapshot() {
             self.compact()?;
         }
         self.send_fresh();
@@ -466,15 +469,15 @@
     /// settings need not name them.
     fn send_members(&mut self) {
         let members = self.core.members();
-        let is_same = members.all().map(|m| &m.place).eq(self.members.iter());
+        let is_same = members.all().map(|m| &m.node).eq(self.members.iter());
         if is_same {
             return;
         }
-        self.members = members.all().map(|m| m.place.clone()).collect();
+        self.members = members.all().map(|m| m.node.clone()).collect();
         tracing::info!(
             event = Line::MembersChanged.as_str(),
-            voters = ?members.voters.iter().map(|m| m.place.vm.as_str()).collect::<Vec<_>>(),
-            learners = ?members.learners.iter().map(|m| m.place.vm.as_str()).collect::<Vec<_>>(),
+            voters = ?members.voters.iter().map(|m| m.node.vm.as_str()).collect::<Vec<_>>(),
+            learners = ?members.learners.iter().map(|m| m.node.vm.as_str()).collect::<Vec<_>>(),
         );
         self.send_to_reactor(ReactorInput::Members(self.members.clone()));
     }
@@ -482,14 +485,14 @@
     /// Sends messages, installs a snapshot and applies committed entries.
     fn carry_out(&mut self, ready: Ready) -> Result<()> {
         for (place, envelope) in ready.messages {
-            self.parts.hub.send(&place.vm, Message::Agree(envelope));
+            self.parts.hub.send(&place.vm, Message::Consensus(envelope));
         }
         if let Some(snapshot) = ready.install {
             self.store = restore(&snapshot)?;
             self.send_view();
         }
         let mut steps = Vec::new();
-        for entry in ready.accepted {
+        for entry in ready.committed {
             let (answer, step) = self.store.apply(&entry.record);
             steps.extend(step);
             if let Some((term, vm, id)) = self.waiters.remove(&entry.index) {
@@ -516,15 +519,16 @@
         let Some(term) = log.term(index) else {
             return Ok(());
         };
-        let bytes = codec::pack(&self.store)?;
+        let bytes = codec::encode_value(&self.store)?;
         let snapshot = Snapshot {
             index,
             term,
             members: log.members_at(index).clone(),
             bytes: Arc::new(bytes),
         };
-        let tail = log.from(index.next(), usize::MAX);
-        self.folder.renew(&snapshot, self.core.hard(), &tail)?;
+        let tail = log.entries_from(index.next(), usize::MAX);
+        self.folder
+            .start_generation(&snapshot, self.core.ballot(), &tail)?;
         self.core.compact(snapshot);
         Ok(())
     }
@@ -532,7 +536,7 @@
     /// Tells the reactor whether the view from this control role is current.
     fn send_fresh(&mut self) {
         let now = self.parts.clock.now();
-        let fresh = self.core.is_fresh(now);
+        let fresh = self.core.has_leader_contact(now);
         let due = fresh && now.since(self.fresh_at) >= FRESH_INTERVAL_MS;
         if due || fresh != self.fresh {
             self.fresh = fresh;
@@ -568,14 +572,14 @@
         set("term", self.core.term().0);
         set("accepted", self.core.commit().0);
         set("leads", u64::from(self.core.role() == Role::Leader));
-        set("log_bytes", self.folder.length());
-        set("syncs", self.folder.syncs());
+        set("log_bytes", self.folder.log_bytes());
+        set("syncs", self.folder.sync_count());
         set("claims", self.store.claims.len() as u64);
     }
 
     /// State of the replicated log, for operators.
     fn status(&self) -> Status {
-        let names = |members: &[Member]| members.iter().map(|m| m.place.vm.clone()).collect();
+        let names = |members: &[Member]| members.iter().map(|m| m.node.vm.clone()).collect();
         let members = self.core.members();
         Status {
             role: format!("{:?}", self.core.role()).to_lowercase(),
@@ -585,8 +589,8 @@
             last: self.core.log().last().0,
             voters: names(&members.voters),
             learners: names(&members.learners),
-            log_bytes: self.folder.length(),
-            syncs: self.folder.syncs(),
+            log_bytes: self.folder.log_bytes(),
+            syncs: self.folder.sync_count(),
             claims: self.store.claims.len(),
         }
     }
@@ -594,10 +598,10 @@
 
 /// Checks that a record is small enough to be sent to the other control VMs.
 fn check_size(record: Record) -> Result<Record, String> {
-    if record.is_large() && !codec::fits(&record) {
+    if record.is_large() && !codec::fits_record(&record) {
         return Err(format!(
             "the record has more than {} bytes",
-            codec::RECORD_MAX
+            codec::MAX_RECORD_BYTES
         ));
     }
     Ok(record)
@@ -608,7 +612,7 @@
     if snapshot.bytes.is_empty() {
         return Ok(Store::default());
     }
-    codec::unpack(&snapshot.bytes).map_err(|_| Error::Corrupt {
+    codec::decode_value(&snapshot.bytes).map_err(|_| Error::Corrupt {
         step: "read the state",
         path: "(snapshot)".to_owned(),
         reason: "the snapshot was written by another version of this program".to_owned(),
--- a/components/node/src/dissemination.rs
+++ b/components/node/src/dissemination.rs
@@ -3,12 +3,12 @@
 //!
 //! Processes form trees whose roots are the control VMs.
 
-use coordination::tree::{Confirm, Tree, Welcome};
+use coordination::tree::{Attachment, Confirmation, Tree};
 use protocol::wire::{Hello, Message};
 use smallvec::SmallVec;
 use state::clock::Millis;
 use state::id::{Name, Version};
-use state::view::{Place, Step, Taken, View};
+use state::view::{Acceptance, Node, Step, View};
 use std::collections::{BTreeMap, VecDeque};
 use transport::link::Hub;
 
@@ -41,9 +41,9 @@
     /// leader, and `pulse_at` when the next pulse is due.
     Root { fresh: bool, pulse_at: Millis },
     /// The process has no parent. `asked` is the candidate that was asked last, at `since`.
-    Seeking { asked: Option<Place>, since: Millis },
+    Seeking { asked: Option<Node>, since: Millis },
     /// A parent sends this process the view.
-    Child { parent: Place },
+    Child { parent: Node },
 }
 
 /// Dissemination state of one process.
@@ -51,7 +51,7 @@
     /// Name of this VM.
     me: Name,
     /// Control VMs where a parent is looked for first.
-    seeds: Vec<Place>,
+    seeds: Vec<Node>,
     /// Index of the seed that is asked next, modulo their number.
     next_seed: usize,
     position: Position,
@@ -72,7 +72,7 @@
     /// Whether the parent has answered a check.
     is_checked: bool,
     /// Confirmation that the parent was last sent.
-    sent_confirm: Option<Confirm>,
+    sent_confirm: Option<Confirmation>,
     /// Version of the view at the last tick.
     version: Version,
     /// Number of routers below each other root, as last reported.
@@ -89,7 +89,7 @@
     /// Creates the state of a process without a view. `is_root` is true on control VMs.
     pub(crate) fn new(
         me: Name,
-        seeds: Vec<Place>,
+        seeds: Vec<Node>,
         first: usize,
         fanout: usize,
         is_root: bool,
@@ -154,23 +154,23 @@
         }
         self.sent_size = routers;
         for child in self.tree.children() {
-            hub.send(child, Message::Size(routers));
+            hub.send(child, Message::FleetSize(routers));
         }
     }
 
     /// On a root, counts the routers of the fleet and reports its own part to the other roots.
-    pub(crate) fn count_routers(&mut self, hub: &Hub, roots: &[Place]) {
+    pub(crate) fn count_routers(&mut self, hub: &Hub, roots: &[Node]) {
         if !self.is_root() {
             return;
         }
         let others = || roots.iter().filter(|p| p.vm != self.me);
         self.subtrees
             .retain(|vm, _| roots.iter().any(|p| p.vm == *vm));
-        let own = self.tree.total(None).routers;
+        let own = self.tree.aggregate(None).routers;
         let sum = own + self.subtrees.values().sum::<u32>();
         if own != self.sent_subtree {
             for root in others() {
-                hub.send(&root.vm, Message::Subtree(own));
+                hub.send(&root.vm, Message::SubtreeSize(own));
             }
             self.sent_subtree = own;
         }
@@ -183,7 +183,7 @@
     }
 
     /// Replaces the control VMs where a parent is looked for first.
-    pub(crate) fn set_seeds(&mut self, seeds: Vec<Place>) {
+    pub(crate) fn set_seeds(&mut self, seeds: Vec<Node>) {
         self.seeds = seeds;
     }
 
@@ -248,8 +248,8 @@
     }
 
     /// Versions confirmed by this process and all nodes below it.
-    pub(crate) fn total(&self, version: Version) -> Confirm {
-        self.tree.total(Some((&self.me, version)))
+    pub(crate) fn total(&self, version: Version) -> Confirmation {
+        self.tree.aggregate(Some((&self.me, version)))
     }
 
     /// Records whether the control role here follows a live leader. If it does not, children are
@@ -266,7 +266,7 @@
         let children: Vec<Name> = self.tree.children().cloned().collect();
         for child in children {
             self.redirect(hub, &child);
-            self.tree.lost(&child);
+            self.tree.detach(&child);
         }
     }
 
@@ -281,10 +281,10 @@
     ) -> bool {
         let mut applied: SmallVec<[Step; 1]> = SmallVec::new();
         for step in steps {
-            match view.take(step) {
-                Taken::InForce => applied.push(step.clone()),
-                Taken::Old => {}
-                Taken::Gap => {
+            match view.apply_step(step) {
+                Acceptance::Applied => applied.push(step.clone()),
+                Acceptance::Stale => {}
+                Acceptance::Gap => {
                     if let Some(vm) = from {
                         hub.send(vm, Message::Subscribe(view.version));
                     }
@@ -300,7 +300,7 @@
             self.history.pop_front();
         }
         for child in self.tree.children() {
-            hub.send(child, Message::Steps(applied.clone()));
+            hub.send(child, Message::Updates(applied.clone()));
         }
         true
     }
@@ -312,7 +312,7 @@
         }
         self.history.clear();
         for child in self.tree.children() {
-            hub.send(child, Message::Whole(Box::new(view.clone())));
+            hub.send(child, Message::FullView(Box::new(view.clone())));
         }
         true
     }
@@ -335,7 +335,7 @@
         }
         self.last_pulse_at = Some(now);
         for child in self.tree.children() {
-            hub.send(child, Message::Pulse(head));
+            hub.send(child, Message::VersionProof(head));
         }
     }
 
@@ -359,26 +359,26 @@
         let vm = place.vm.clone();
         let was_child = self.has_child(&vm);
         if let Some(nearer) = self.nearer_root(now, hub, &vm, &data_centre) {
-            hub.send(&vm, Message::Elsewhere(nearer));
+            hub.send(&vm, Message::Redirect(nearer));
             return false;
         }
-        if let Welcome::Elsewhere(other) = self.tree.welcome(place, &data_centre, version) {
-            hub.send(&vm, Message::Elsewhere(other));
+        if let Attachment::Redirect(other) = self.tree.attach(place, &data_centre, version) {
+            hub.send(&vm, Message::Redirect(other));
             return false;
         }
         let first = self.history.front().map(|s| s.version.0);
         let is_in_history = first.is_some_and(|first| first <= version.0 + 1);
         let message = if version >= view.version {
-            Message::Pulse(view.version)
+            Message::VersionProof(view.version)
         } else if is_in_history {
             let missed = self.history.iter().filter(|s| s.version > version);
-            Message::Steps(missed.cloned().collect())
+            Message::Updates(missed.cloned().collect())
         } else {
-            Message::Whole(Box::new(view.clone()))
+            Message::FullView(Box::new(view.clone()))
         };
         hub.send(&vm, message);
         if let Some(size) = self.size.filter(|_| !was_child) {
-            hub.send(&vm, Message::Size(size));
+            hub.send(&vm, Message::FleetSize(size));
         }
         !was_child
     }
@@ -391,7 +391,7 @@
         hub: &Hub,
         vm: &Name,
         data_centre: &Name,
-    ) -> Option<Place> {
+    ) -> Option<Node> {
         let is_far = self.is_root() && hub.hello().data_centre != *data_centre;
         if !is_far || self.has_child(vm) {
             return None;
@@ -423,16 +423,16 @@
 
     /// Removes a child that has found another parent.
     pub(crate) fn handle_unsubscribe(&mut self, vm: &Name) {
-        self.tree.lost(vm);
+        self.tree.detach(vm);
     }
 
     /// Handles a child's confirmation.
-    pub(crate) fn handle_confirm(&mut self, vm: &Name, confirm: Confirm) {
+    pub(crate) fn handle_confirm(&mut self, vm: &Name, confirm: Confirmation) {
         self.tree.confirm(vm, confirm);
     }
 
     /// Handles a redirection to another node by the parent or the candidate that was asked.
-    pub(crate) fn handle_redirect(&mut self, now: Millis, hub: &Hub, from: &Name, place: Place) {
+    pub(crate) fn handle_redirect(&mut self, now: Millis, hub: &Hub, from: &Name, place: Node) {
         let asked = match &self.position {
             Position::Root { .. } => return,
             Position::Seeking { asked, .. } => asked.as_ref(),
@@ -458,7 +458,7 @@
 
     /// Handles a lost link to a child or to the parent.
     pub(crate) fn link_down(&mut self, now: Millis, vm: &Name) {
-        self.tree.lost(vm);
+        self.tree.detach(vm);
         if matches!(&self.position, Position::Child { parent } if parent.vm == *vm) {
             self.position = Position::Seeking {
                 asked: None,
@@ -489,7 +489,7 @@
                 if *fresh && now >= *pulse_at {
                     *pulse_at = now.after(PULSE_INTERVAL_MS);
                     for child in self.tree.children() {
-                        hub.send(child, Message::Pulse(version));
+                        hub.send(child, Message::VersionProof(version));
                     }
                 }
             }
@@ -505,7 +505,7 @@
                         None => FIRST_CHECK_INTERVAL_MS,
                     };
                     self.next_check_at = now.after(pause_ms);
-                    hub.send(&parent.vm, Message::Check(now.0));
+                    hub.send(&parent.vm, Message::ProofRequest(now.0));
                 }
                 // Pulses originate at roots alone. A parent that is partitioned together
                 // with this process, or that is its descendant in a cycle, forwards none.
@@ -554,7 +554,7 @@
 
     /// Asks the next seed to become the parent.
     fn ask_next_seed(&mut self, now: Millis, hub: &Hub) {
-        let others: Vec<&Place> = self.seeds.iter().filter(|s| s.vm != self.me).collect();
+        let others: Vec<&Node> = self.seeds.iter().filter(|s| s.vm != self.me).collect();
         if others.is_empty() {
             return;
         }
@@ -564,7 +564,7 @@
     }
 
     /// Asks a node to become the parent.
-    fn ask_parent(&mut self, now: Millis, hub: &Hub, place: Place) {
+    fn ask_parent(&mut self, now: Millis, hub: &Hub, place: Node) {
         hub.dial(&place);
         if hub.is_up(&place.vm) {
             hub.send(&place.vm, Message::Subscribe(self.version));
@@ -577,8 +577,8 @@
 
     /// Redirects a node to another one.
     fn redirect(&mut self, hub: &Hub, vm: &Name) {
-        if let Some(other) = self.tree.send_away(&self.seeds, &self.me, vm) {
-            hub.send(vm, Message::Elsewhere(other));
+        if let Some(other) = self.tree.redirect(&self.seeds, &self.me, vm) {
+            hub.send(vm, Message::Redirect(other));
         }
     }
 }
--- a/components/node/src/input.rs
+++ b/components/node/src/input.rs
@@ -2,15 +2,15 @@
 
 use crate::interface::Contents;
 use crate::shared::Status;
-use coordination::ask::{Placement, Refusal, Verdict};
 use coordination::backoff::Backoff;
-use coordination::dispatcher::{Arrival, Full, Handle};
+use coordination::dispatcher::{Arrival, Handle, Rejection};
+use coordination::messages::{Placement, Refusal, Verdict};
 use protocol::wire::{Query, Reply};
 use state::clock::Millis;
 use state::id::{EndpointId, Name};
-use state::listing::Listed;
-use state::suspect::{Clearance, Crash};
-use state::view::{Place, Step, View};
+use state::listing::Entry;
+use state::suspect::{Completion, Crash};
+use state::view::{Node, Step, View};
 use std::net::SocketAddr;
 use tokio::sync::oneshot;
 use transport::link;
@@ -52,7 +52,7 @@
     /// When the read began.
     pub(crate) began: Millis,
     /// Entries that could be read.
-    pub(crate) endpoints: Vec<Listed>,
+    pub(crate) endpoints: Vec<Entry>,
     /// Whether all pages could be read.
     pub(crate) is_whole: bool,
 }
@@ -73,7 +73,10 @@
     /// An event of the links.
     Link(link::Event),
     /// A request arrives. The reply is its handle and the receiver of its decision.
-    Arrive(Arrival, oneshot::Sender<Result<(Handle, Decided), Full>>),
+    Arrive(
+        Arrival,
+        oneshot::Sender<Result<(Handle, Decided), Rejection>>,
+    ),
     /// The caller of a waiting request has disconnected.
     Cancel(Handle),
     /// An attempt has failed and the request is queued again.
@@ -90,7 +93,7 @@
     /// An endpoint closed its connection during a request.
     Crashed(Crash),
     /// An endpoint has answered a suspected request completely.
-    Cleared(Clearance),
+    Cleared(Completion),
     /// A query to the control VMs.
     Query(Query, oneshot::Sender<Reply>),
     /// An endpoint reported its load.
@@ -104,9 +107,9 @@
     /// Whether the control role of this process is the leader.
     Leadership(bool),
     /// Members of the replicated log, voting or not, from the control role of this process.
-    Members(Vec<Place>),
+    Members(Vec<Node>),
     /// The control VMs in the settings have changed.
-    Seeds(Vec<Place>),
+    Seeds(Vec<Node>),
     /// Asks whether this process should read the platform's list of endpoints now. If so, the
     /// reply is the current time.
     ListingDue(oneshot::Sender<Option<Millis>>),
--- a/components/node/src/interface.rs
+++ b/components/node/src/interface.rs
@@ -9,7 +9,7 @@
 use hyper::http::{request, response};
 use hyper::StatusCode;
 use state::id::Name;
-use state::listing::Listed;
+use state::listing::Entry;
 use state::outcome::Outcome;
 use state::record::Release;
 use state::secret::Hash;
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Page {
     /// Endpoints of the page.
-    pub endpoints: Vec<Listed>,
+    pub endpoints: Vec<Entry>,
     /// Path of the next page, if there is one.
     pub next: Option<String>,
     /// Number of entries that could not be parsed.
@@ -215,7 +215,7 @@
 fn native_page(page: &[u8], regions: &Regions) -> Result<Page, String> {
     #[derive(serde::Deserialize)]
     #[serde(rename_all = "kebab-case")]
-    struct Entry {
+    struct Row {
         name: Name,
         service: Name,
         address: SocketAddr,
@@ -230,23 +230,23 @@
     }
     #[derive(serde::Deserialize)]
     #[serde(rename_all = "kebab-case")]
-    struct Entries {
-        endpoints: Vec<Entry>,
+    struct Rows {
+        endpoints: Vec<Row>,
         next: Option<String>,
     }
-    let read: Entries = serde_json::from_slice(page).map_err(|e| e.to_string())?;
-    let endpoints = read.endpoints.into_iter().map(|entry| Listed {
-        leaving: entry.leaving,
-        born: entry.born,
-        cold_ms: entry.cold_ms,
+    let read: Rows = serde_json::from_slice(page).map_err(|e| e.to_string())?;
+    let endpoints = read.endpoints.into_iter().map(|row| Entry {
+        leaving: row.leaving,
+        started_ms: row.born,
+        cold_ms: row.cold_ms,
         endpoint: state::config::Endpoint {
-            region: region(regions, &entry.data_centre),
-            name: entry.name,
-            service: entry.service,
-            address: entry.address,
-            data_centre: entry.data_centre,
-            slots: entry.slots,
-            lead: 0,
+            region: region(regions, &row.data_centre),
+            name: row.name,
+            service: row.service,
+            address: row.address,
+            data_centre: row.data_centre,
+            slots: row.slots,
+            prefetch: 0,
         },
     });
     Ok(Page {
--- a/components/node/src/listing.rs
+++ b/components/node/src/listing.rs
@@ -7,7 +7,7 @@
 use errors::{Error, Result};
 use state::id::Name;
 use state::line::Line;
-use state::listing::Listed;
+use state::listing::Entry;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -111,7 +111,7 @@
 /// Entries that were read from the list, with their number of pages.
 #[derive(Default)]
 struct Part {
-    endpoints: Vec<Listed>,
+    endpoints: Vec<Entry>,
     unreadable: usize,
     pages: usize,
 }
--- a/components/node/src/monitor.rs
+++ b/components/node/src/monitor.rs
@@ -6,7 +6,7 @@
 
 use crate::metric::{gauge_value, Metrics};
 use crate::shared::{cancelled, Published};
-use coordination::intake::{Arrivals, Intake, Limit, Probes};
+use coordination::admission::{Admission, Arrivals, Limit, Probes};
 use coordination::overload::Overload;
 use state::clock::Millis;
 use state::line::Line;
@@ -71,7 +71,8 @@
             shared: Arc::default(),
         };
         lateness.shared.due_ms.store(u64::MAX, Ordering::Relaxed);
-        (lateness.shared.connections_max).store(Limit::default().takes(), Ordering::Relaxed);
+        (lateness.shared.connections_max)
+            .store(Limit::default().connections_max(), Ordering::Relaxed);
         lateness
     }
 }
@@ -82,9 +83,9 @@
         let load = |of: &AtomicU64| of.load(Ordering::Relaxed);
         let probes = Probes {
             last_ms: load(&self.shared.last_ms),
-            before_ms: load(&self.shared.before_ms),
+            previous_ms: load(&self.shared.before_ms),
             overdue_ms: self.elapsed_ms().saturating_sub(load(&self.shared.due_ms)),
-            taken: load(&self.shared.admitted),
+            admitted: load(&self.shared.admitted),
         };
         probes.lateness()
     }
@@ -92,48 +93,48 @@
     /// Whether tasks run so late that times measured by this process, such as those of endpoints,
     /// say more about this process.
     pub(crate) fn is_late(&self) -> bool {
-        Intake::of_request(self.ms()) != Intake::Take
+        Admission::for_request(self.ms()) != Admission::Admit
     }
 
     /// Whether a waiting connection may be accepted, even if only to be closed.
     pub(crate) fn may_accept(&self) -> bool {
-        self.decide_connection() != Intake::Wait
+        self.decide_connection() != Admission::Wait
     }
 
     /// Decides what to do with an accepted connection, and counts it.
-    pub(crate) fn admit_connection(&self) -> Intake {
+    pub(crate) fn admit_connection(&self) -> Admission {
         let intake = self.decide_connection();
         match intake {
-            Intake::Take => {
+            Admission::Admit => {
                 self.shared.admitted.fetch_add(1, Ordering::Relaxed);
                 self.shared.accepted.fetch_add(1, Ordering::Relaxed);
             }
-            Intake::Close => {
+            Admission::Close => {
                 self.shared.closed.fetch_add(1, Ordering::Relaxed);
             }
-            Intake::Refuse | Intake::Wait => {}
+            Admission::Refuse | Admission::Wait => {}
         }
         intake
     }
 
     /// Decides what to do with a connection.
-    fn decide_connection(&self) -> Intake {
+    fn decide_connection(&self) -> Admission {
         let takes = self.shared.connections_max.load(Ordering::Relaxed);
-        Intake::of_connection(self.ms(), self.arrivals(), takes)
+        Admission::for_connection(self.ms(), self.arrivals(), takes)
     }
 
     /// Connections that arrived since the last probe.
     fn arrivals(&self) -> Arrivals {
         Arrivals {
-            taken: self.shared.accepted.load(Ordering::Relaxed),
+            admitted: self.shared.accepted.load(Ordering::Relaxed),
             closed: self.shared.closed.load(Ordering::Relaxed),
         }
     }
 
     /// Decides what to do with a request whose head was read, and counts it.
-    pub(crate) fn admit_request(&self) -> Intake {
-        let intake = Intake::of_request(self.ms());
-        if intake == Intake::Take {
+    pub(crate) fn admit_request(&self) -> Admission {
+        let intake = Admission::for_request(self.ms());
+        if intake == Admission::Admit {
             self.shared.admitted.fetch_add(1, Ordering::Relaxed);
         }
         intake
@@ -167,7 +168,7 @@
     fn lasting_ms(&self) -> u64 {
         let load = |of: &AtomicU64| of.load(Ordering::Relaxed);
         let shared = &self.shared;
-        Probes::lasting(
+        Probes::sustained(
             load(&shared.last_ms),
             load(&shared.before_ms),
             load(&shared.admitted),
@@ -221,14 +222,14 @@
             lateness_ms = lateness.probe() => lateness_ms,
             () = cancelled(&mut stop) => return,
         };
-        limit.probe(lateness.lasting_ms(), lateness.arrivals().taken);
-        lateness.reset(limit.takes());
+        limit.probe(lateness.lasting_ms(), lateness.arrivals().admitted);
+        lateness.reset(limit.connections_max());
         let is_full = metrics.connections.get() >= connections;
         let now = Millis(lateness.elapsed_ms());
         let is_hot = published.borrow().is_hot;
-        overload.note_hot(is_hot);
+        overload.set_hot(is_hot);
         let is_shedding = overload.probe(now, lateness_ms, is_full);
-        if lateness.set_shedding(is_shedding, overload.is_passed_over(now)) {
+        if lateness.set_shedding(is_shedding, overload.is_bypassed(now)) {
             let event = Line::Overload.as_str();
             tracing::info!(
                 event,
--- a/components/node/src/operators.rs
+++ b/components/node/src/operators.rs
@@ -12,13 +12,13 @@
 use hyper::header::{HeaderName, HeaderValue, AUTHORIZATION, CONTENT_TYPE};
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use protocol::codec;
-use protocol::wire::{Leaving, Query, Reply};
+use protocol::wire::{Drain, Query, Reply};
 use serde::{Deserialize, Serialize};
 use state::fingerprint::Fingerprint;
 use state::id::{Name, Version};
 use state::record::{Answer, ChangeId};
 use state::secret::Hash;
-use state::suspect::{Clearance, Evidence};
+use state::suspect::{Completion, Evidence};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,7 +30,7 @@
 /// Largest number of configuration files that are received at once; others wait.
 const CONCURRENT_FILES_MAX: usize = 2;
 /// Largest configuration file in bytes: it has to fit into a record of the log.
-const BODY_MAX: usize = codec::RECORD_MAX;
+const BODY_MAX: usize = codec::MAX_RECORD_BYTES;
 /// Time for a configuration file to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Timeout for an answer of the control VMs.
@@ -177,7 +177,7 @@
     let peers = all.map(|hello| Peer {
         vm: hello.place.vm,
         incarnation: hello.incarnation,
-        operators: hello.operators,
+        operators: hello.operator_address,
     });
     peers.collect()
 }
@@ -231,8 +231,8 @@
 async fn depart(parts: &Parts, query: &BTreeMap<String, String>) -> Page {
     let name = |key: &str| query.get(key).map(|v| Name::try_from(v.as_str()));
     let leaving = match (name("endpoint"), name("endpoint-back"), name("vm")) {
-        (Some(Ok(name)), None, None) => Leaving::Endpoint(name),
-        (None, Some(Ok(name)), None) => Leaving::EndpointBack(name),
+        (Some(Ok(name)), None, None) => Drain::Endpoint(name),
+        (None, Some(Ok(name)), None) => Drain::EndpointBack(name),
         (None, None, Some(Ok(name))) => {
             let incarnation = query.get("incarnation").and_then(|v| v.parse().ok());
             let Some(incarnation) = incarnation else {
@@ -241,7 +241,7 @@
                     "give the VM's incarnation, as /peers shows it",
                 );
             };
-            Leaving::Vm(name, incarnation)
+            Drain::Vm(name, incarnation)
         }
         _ => {
             return error(
@@ -250,7 +250,7 @@
             )
         }
     };
-    propose(parts, Query::Depart(leaving)).await
+    propose(parts, Query::Drain(leaving)).await
 }
 
 /// Evacuates a data centre, or ends its evacuation.
@@ -273,7 +273,7 @@
             return error(StatusCode::BAD_REQUEST, &reason);
         }
     };
-    let clearance = Clearance {
+    let clearance = Completion {
         fingerprint,
         at: parts.clock.stamp(),
     };
@@ -281,7 +281,7 @@
         cleared: vec![clearance],
         ..Evidence::default()
     };
-    propose(parts, Query::Suspects(evidence)).await
+    propose(parts, Query::Evidence(evidence)).await
 }
 
 /// Sends a query to the control VMs, and converts the reply into a response.
@@ -335,7 +335,7 @@
     match names {
         Ok(names) => {
             let silent = query.get("silent").is_some_and(|v| v == "yes");
-            parts.hub.cut(&names, silent);
+            parts.hub.partition(&names, silent);
             text(StatusCode::OK, "cut\n")
         }
         Err(reason) => error(StatusCode::BAD_REQUEST, &reason),
@@ -346,7 +346,7 @@
 fn suspend(parts: &Parts, query: &BTreeMap<String, String>) -> Page {
     match query.get("ms").and_then(|ms| ms.parse().ok()) {
         Some(ms) => {
-            parts.clock.suspend(ms);
+            parts.clock.simulate_suspension(ms);
             text(StatusCode::OK, "suspended\n")
         }
         None => error(StatusCode::BAD_REQUEST, "give ms: a number of milliseconds"),
--- a/components/node/src/platform.rs
+++ b/components/node/src/platform.rs
@@ -6,7 +6,7 @@
 use crate::shared::{cancelled, Published};
 use coordination::platform::{Change, Entry, Watch};
 use errors::{Error, Result};
-use protocol::wire::{Leaving, Query};
+use protocol::wire::{Drain, Query};
 use settings::Platform;
 use state::line::Line;
 use state::view::View;
@@ -72,8 +72,8 @@
 /// Sends a change of an endpoint to the control VMs.
 async fn announce(reactor: &flume::Sender<Input>, view: &View, change: Change) {
     let (id, leaves) = match change {
-        Change::Leaves(id) => (id, true),
-        Change::Back(id) => (id, false),
+        Change::Leaving(id) => (id, true),
+        Change::Returned(id) => (id, false),
     };
     let Some(endpoint) = view.config.endpoints.get(&id) else {
         return;
@@ -86,12 +86,12 @@
         version = view.version.0,
     );
     let leaving = if leaves {
-        Leaving::Endpoint(name)
+        Drain::Endpoint(name)
     } else {
-        Leaving::EndpointBack(name)
+        Drain::EndpointBack(name)
     };
     let (sender, receiver) = oneshot::channel();
-    let _ = reactor.send(Input::Query(Query::Depart(leaving), sender));
+    let _ = reactor.send(Input::Query(Query::Drain(leaving), sender));
     // A change that is not answered is repeated after the next list that contains it.
     let _ = tokio::time::timeout(ACCEPT_TIMEOUT, receiver).await;
 }
--- a/components/node/src/quarantine.rs
+++ b/components/node/src/quarantine.rs
@@ -7,7 +7,7 @@
 use state::fingerprint::Fingerprint;
 use state::id::Name;
 use state::line::Line;
-use state::suspect::{relieved, Clearance, Crash, Evidence, Standing, Standings, Suspects};
+use state::suspect::{downgraded, Completion, Crash, Evidence, Status, Statuses, Suspects};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use tokio::sync::{oneshot, watch};
@@ -26,8 +26,8 @@
 /// Requests that are suspected or quarantined by the whole fleet, or by this process alone.
 #[derive(Debug, Default)]
 pub(crate) struct Suspicions {
-    fleet: Standings,
-    own: Standings,
+    fleet: Statuses,
+    own: Statuses,
 }
 
 impl Suspicions {
@@ -46,7 +46,7 @@
     pub(crate) fn is_quarantined(&self, fingerprint: &Fingerprint) -> bool {
         let both = [&self.fleet, &self.own];
         let mut found = both.iter().filter_map(|all| all.get(fingerprint));
-        found.any(|standing| *standing == Standing::Quarantined)
+        found.any(|standing| *standing == Status::Quarantined)
     }
 }
 
@@ -71,7 +71,7 @@
     /// Suspicions from crashes that this process has seen.
     own: Suspects,
     /// Suspicions that the control VMs have put in force.
-    fleet: Standings,
+    fleet: Statuses,
     /// Evidence to report, from this process and its children.
     pending: Evidence,
     next_report_at: Millis,
@@ -86,7 +86,7 @@
     pub(crate) fn new(publish: watch::Sender<Arc<Suspicions>>) -> Self {
         Quarantine {
             own: Suspects::default(),
-            fleet: Standings::new(),
+            fleet: Statuses::new(),
             pending: Evidence::default(),
             next_report_at: Millis(0),
             report: None,
@@ -97,7 +97,7 @@
 
     /// Handles a crash: an endpoint closed its connection during a request.
     pub(crate) fn handle_crash(&mut self, crash: Crash) {
-        self.own.crashed(&crash);
+        self.own.record_crash(&crash);
         let crashes = vec![crash];
         self.relay(Evidence {
             crashes,
@@ -107,9 +107,9 @@
     }
 
     /// Handles a clearance: an endpoint has answered a suspected request completely.
-    pub(crate) fn handle_clearance(&mut self, clearance: Clearance) {
-        self.own.cleared(&clearance);
-        let is_other = |c: &Clearance| c.fingerprint != clearance.fingerprint;
+    pub(crate) fn handle_clearance(&mut self, clearance: Completion) {
+        self.own.record_completion(&clearance);
+        let is_other = |c: &Completion| c.fingerprint != clearance.fingerprint;
         self.pending.cleared.retain(is_other);
         let cleared = vec![clearance];
         self.relay(Evidence {
@@ -125,11 +125,11 @@
     }
 
     /// Applies the suspicions that the control VMs have put in force.
-    pub(crate) fn follow(&mut self, fleet: &Standings) {
+    pub(crate) fn follow(&mut self, fleet: &Statuses) {
         if *fleet == self.fleet {
             return;
         }
-        for fingerprint in relieved(&self.fleet, fleet) {
+        for fingerprint in downgraded(&self.fleet, fleet) {
             self.own.forget(&fingerprint);
         }
         self.fleet.clone_from(fleet);
@@ -169,7 +169,7 @@
         let (sender, receiver) = oneshot::channel();
         self.report = Some(receiver);
         let evidence = self.pending.take(REPORT_MAX);
-        queries.ask(now, hub, Query::Suspects(evidence), sender);
+        queries.ask(now, hub, Query::Evidence(evidence), sender);
     }
 
     /// Fingerprints of requests that this process refuses.
@@ -184,7 +184,7 @@
     fn publish(&self) {
         let suspicions = Suspicions {
             fleet: self.fleet.clone(),
-            own: self.own.standings(1),
+            own: self.own.statuses(1),
         };
         self.publish.send_if_modified(|published| {
             let is_same = published.fleet == suspicions.fleet && published.own == suspicions.own;
--- a/components/node/src/query.rs
+++ b/components/node/src/query.rs
@@ -3,7 +3,7 @@
 use protocol::wire::{Message, Query, Reply};
 use state::clock::Millis;
 use state::id::Name;
-use state::view::Place;
+use state::view::Node;
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
 use transport::link::Hub;
@@ -29,7 +29,7 @@
 /// Queries without an answer, and the control VM that they are sent to.
 pub(crate) struct Queries {
     /// Control VMs.
-    seeds: Vec<Place>,
+    seeds: Vec<Node>,
     /// Queries by ID.
     open: BTreeMap<u64, Open>,
     next_id: u64,
@@ -47,7 +47,7 @@
 
 impl Queries {
     /// Creates an empty set of queries. `first` chooses the control VM that is asked first.
-    pub(crate) fn new(seeds: Vec<Place>, first: usize, keeps_links: bool) -> Self {
+    pub(crate) fn new(seeds: Vec<Node>, first: usize, keeps_links: bool) -> Self {
         let target = first % seeds.len().max(1);
         Queries {
             seeds,
@@ -62,7 +62,7 @@
     }
 
     /// Replaces the control VMs that are asked.
-    pub(crate) fn set_seeds(&mut self, seeds: Vec<Place>) {
+    pub(crate) fn set_seeds(&mut self, seeds: Vec<Node>) {
         let asked = self.seeds.get(self.target).cloned();
         self.target = asked
             .and_then(|asked| seeds.iter().position(|s| *s == asked))
--- a/components/node/src/reactor/listing.rs
+++ b/components/node/src/reactor/listing.rs
@@ -17,14 +17,16 @@
         let reader = if self.is_leader {
             Reader::Leader
         } else if self.parts.is_control {
-            let is_led = self.has_leader;
-            Reader::Control { is_led }
+            let follows_leader = self.has_leader;
+            Reader::Control { follows_leader }
         } else {
             Reader::Router(self.dissemination.routers())
         };
         let seed = self.parts.hub.hello().incarnation;
-        let timeout_ms = self.roster.patience_ms(reader, self.parts.listing_ms, seed);
-        timeout_ms.is_some_and(|ms| self.roster.is_due(now, ms))
+        let timeout_ms = self
+            .registry
+            .read_delay_ms(reader, self.parts.listing_ms, seed);
+        timeout_ms.is_some_and(|ms| self.registry.is_due(now, ms))
     }
 
     /// Handles the result of a read of the list by this process.
@@ -38,8 +40,10 @@
         }
         let draw = rand::random();
         let changed = match reading.is_whole {
-            true => self.roster.read(now, reading.endpoints, draw),
-            false => self.roster.read_part(now, reading.endpoints, draw),
+            true => self.registry.apply_reading(now, reading.endpoints, draw),
+            false => self
+                .registry
+                .apply_partial_reading(now, reading.endpoints, draw),
         };
         self.propagate_listing(now, changed, None);
     }
@@ -47,14 +51,14 @@
     /// Handles an update of the list from another process.
     pub(super) fn handle_listing(&mut self, now: Millis, vm: &Name, message: Message) {
         let changed = match message {
-            Message::Listing(listing) => Some(self.roster.take(now, *listing)),
-            Message::Census(census) => Some(self.roster.take_census(now, *census)),
-            Message::ListingChange(change) => self.roster.follow(now, &change),
-            Message::ListingKept(id) => self.roster.confirm(now, id).then_some(false),
+            Message::Listing(listing) => Some(self.registry.apply_listing(now, *listing)),
+            Message::Census(census) => Some(self.registry.apply_census(now, *census)),
+            Message::ListingChange(change) => self.registry.apply_change(now, &change),
+            Message::ListingUnchanged(id) => self.registry.confirm(now, id).then_some(false),
             _ => return,
         };
         let Some(changed) = changed else {
-            self.parts.hub.send(vm, Message::ListingWanted);
+            self.parts.hub.send(vm, Message::ListingRequest);
             return;
         };
         self.listing_received_at = Some(now);
@@ -66,13 +70,13 @@
     fn propagate_listing(&mut self, now: Millis, changed: bool, from: Option<&Name>) {
         if changed {
             self.log_endpoints(from);
-            self.catalogue.follow(now, self.roster.change());
+            self.catalogue.apply_change(now, self.registry.change());
             self.update_effective_view(now);
         }
         let is_other = |vm: &&Name| Some(*vm) != from && **vm != self.me;
         let update = || match changed {
-            true => Message::ListingChange(Box::new(self.roster.told_change(now))),
-            false => Message::ListingKept(self.roster.listing().id),
+            true => Message::ListingChange(Box::new(self.registry.export_change(now))),
+            false => Message::ListingUnchanged(self.registry.listing().id),
         };
         if from.is_none() && self.parts.is_control {
             let message = update();
@@ -80,12 +84,12 @@
                 self.parts.hub.send(vm, message.clone());
             }
         }
-        let message = match self.roster.census() {
+        let message = match self.registry.census() {
             None => update(),
-            Some(census) if census.id == self.sent_census => Message::ListingKept(census.id),
+            Some(census) if census.id == self.sent_census => Message::ListingUnchanged(census.id),
             Some(census) => Message::Census(Box::new(census.clone())),
         };
-        self.sent_census = self.roster.census().map_or(0, |census| census.id);
+        self.sent_census = self.registry.census().map_or(0, |census| census.id);
         for vm in self.dissemination.children().filter(is_other) {
             self.parts.hub.send(vm, message.clone());
         }
@@ -93,18 +97,18 @@
 
     /// Logs which endpoints were added, are draining or were removed.
     fn log_endpoints(&self, from: Option<&Name>) {
-        let change = self.roster.change();
+        let change = self.registry.change();
         let names_of = |leaving: bool| {
             let found = change.set.iter().filter(|l| l.leaving == leaving);
             join_names(found.map(|l| &l.endpoint.name))
         };
-        let census = self.roster.census();
+        let census = self.registry.census();
         let counts = census.map(|c| c.counts.iter().map(|count| count.all).sum());
         // CAST: a fleet has far fewer than 2^32 endpoints.
-        let held = self.roster.listing().endpoints.len() as u32;
+        let held = self.registry.listing().endpoints.len() as u32;
         tracing::info!(
             event = Line::EndpointsChanged.as_str(),
-            listing = self.roster.listing().id,
+            listing = self.registry.listing().id,
             endpoints = counts.unwrap_or(held),
             come = names_of(false),
             leave = names_of(true),
@@ -116,10 +120,10 @@
     /// Sends the known list, or its census, to a child or a control VM.
     pub(super) fn send_listing(&self, now: Millis, vm: &Name) {
         let is_member = self.members.iter().any(|p| p.vm == *vm);
-        let message = match self.roster.census() {
+        let message = match self.registry.census() {
             Some(census) if !is_member => Message::Census(Box::new(census.clone())),
-            _ if self.roster.listing().endpoints.is_empty() => return,
-            _ => Message::Listing(Box::new(self.roster.told(now))),
+            _ if self.registry.listing().endpoints.is_empty() => return,
+            _ => Message::Listing(Box::new(self.registry.export(now))),
         };
         self.parts.hub.send(vm, message);
     }
--- a/components/node/src/reactor/mod.rs
+++ b/components/node/src/reactor/mod.rs
@@ -20,18 +20,18 @@
 use crate::shared::Published;
 use coordination::backoff::Backoff;
 use coordination::candidacy::Candidacy;
-use coordination::cell::{Catalogue, Cells};
-use coordination::dispatcher::{Bounds, Dispatcher, Effect, Effects, Handle, Home};
-use coordination::listing::Roster;
+use coordination::cell::{Catalogue, Poller};
+use coordination::dispatcher::{Bounds, Dispatcher, Effect, Effects, Handle, Location};
+use coordination::failback::Failbacks;
+use coordination::listing::Registry;
 use coordination::recent::Recent;
-use coordination::returns::Returns;
 use protocol::wire::{Message, Reply};
 use state::clock::Millis;
 use state::config::{Endpoint, Index};
-use state::event::{Event, Step};
+use state::event::{Event, Kind};
 use state::id::{EndpointId, Name, Version};
 use state::line::Line;
-use state::view::{Assignment, Place, View};
+use state::view::{Assignment, Node, View};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
@@ -59,11 +59,11 @@
     /// Metrics of this process.
     pub(crate) metrics: Metrics,
     /// Control VMs named in the settings.
-    pub(crate) seeds: Vec<Place>,
+    pub(crate) seeds: Vec<Node>,
     /// Time between two reads of the platform's list of endpoints, in milliseconds.
     pub(crate) listing_ms: u64,
     /// Region, data centre and incarnation of this VM.
-    pub(crate) home: Home,
+    pub(crate) home: Location,
     /// Limits on queued requests and their bytes.
     pub(crate) bounds: Bounds,
     /// Largest number of child nodes that receive the configuration from this one.
@@ -96,7 +96,7 @@
     /// Look-up tables of the configuration.
     index: Arc<Index>,
     /// The platform's list of endpoints.
-    roster: Roster,
+    registry: Registry,
     /// When another process last sent an update of the list.
     listing_received_at: Option<Millis>,
     /// ID of the census that was last sent to children.
@@ -104,7 +104,7 @@
     /// Endpoints by shard, to answer schedulers that ask for those of their shard.
     catalogue: Catalogue,
     /// Endpoints of the shards that are scheduled here, where no process knows the whole list.
-    cells: Cells,
+    cells: Poller,
     /// Endpoints that schedulers recently granted to this router.
     recent: Recent,
     /// Whether `effective` includes endpoints of `recent`.
@@ -112,9 +112,9 @@
     /// Number of shards that have endpoints.
     shards: usize,
     /// Data centres that recently returned from an evacuation.
-    returns: Returns,
+    returns: Failbacks,
     /// Members of the replicated log, as reported by the control role of this process.
-    members: Vec<Place>,
+    members: Vec<Node>,
     /// Whether the control role of this process is the leader.
     is_leader: bool,
     /// Whether the control role of this process follows a live leader.
@@ -203,15 +203,15 @@
             view: View::default(),
             effective: Arc::default(),
             index: Arc::default(),
-            roster: Roster::default(),
+            registry: Registry::default(),
             listing_received_at: None,
             sent_census: 0,
             catalogue: Catalogue::new(hello.incarnation),
-            cells: Cells::default(),
+            cells: Poller::default(),
             recent: Recent::default(),
             uses_recent: false,
             shards: 0,
-            returns: Returns::default(),
+            returns: Failbacks::default(),
             members: Vec::new(),
             is_leader: false,
             has_leader: false,
@@ -302,7 +302,7 @@
                 self.parts.metrics.retries.inc();
                 let (sender, decided) = oneshot::channel();
                 self.decisions.insert(handle, sender);
-                let effects = self.dispatcher.again(now, handle, verdict);
+                let effects = self.dispatcher.requeue(now, handle, verdict);
                 self.perform(now, effects);
                 if reply.send(decided).is_err() {
                     self.cancel(now, handle);
@@ -386,7 +386,7 @@
     /// Removes a request whose caller has disconnected.
     fn cancel(&mut self, now: Millis, handle: Handle) {
         self.decisions.remove(&handle);
-        let effects = self.dispatcher.leave(now, handle);
+        let effects = self.dispatcher.cancel(now, handle);
         self.perform(now, effects);
     }
 
@@ -395,7 +395,7 @@
         match event {
             link::Event::Up(hello) => {
                 let vm = &hello.place.vm;
-                self.parts.journal.note(Event::new(Step::LinkUp).peer(vm));
+                self.parts.journal.note(Event::new(Kind::LinkUp).peer(vm));
                 self.dissemination
                     .link_up(&self.parts.hub, vm, self.view.version);
                 self.send_to_control(crate::control::Input::Up(hello.clone()));
@@ -405,7 +405,7 @@
             link::Event::Down(vm) => {
                 self.parts
                     .journal
-                    .note(Event::new(Step::LinkDown).peer(&vm));
+                    .note(Event::new(Kind::LinkDown).peer(&vm));
                 self.dissemination.link_down(now, &vm);
                 self.schedulers.link_down(now, &vm);
                 self.dispatcher.link_down(now, &vm);
@@ -420,7 +420,7 @@
     fn handle_message(&mut self, now: Millis, vm: Name, message: Message) {
         match message {
             Message::Hello(_) => {}
-            Message::Agree(_) | Message::Beat { .. } | Message::Query(..) => {
+            Message::Consensus(_) | Message::Heartbeat { .. } | Message::Query(..) => {
                 self.send_to_control(crate::control::Input::Message(vm, message));
             }
             Message::Reply(id, reply) => self.queries.handle_reply(now, &self.parts.hub, id, reply),
@@ -439,21 +439,21 @@
                 }
             }
             Message::Unsubscribe => self.dissemination.handle_unsubscribe(&vm),
-            Message::Elsewhere(place) => {
+            Message::Redirect(place) => {
                 self.dissemination
                     .handle_redirect(now, &self.parts.hub, &vm, place);
             }
-            Message::Pulse(head) => {
+            Message::VersionProof(head) => {
                 self.dissemination.mark_received(now, &vm);
                 self.dissemination
                     .handle_pulse(now, &self.parts.hub, &vm, &self.view, head);
                 self.dirty = true;
             }
-            Message::Steps(steps) => {
+            Message::Updates(steps) => {
                 self.dissemination.mark_received(now, &vm);
                 self.apply_steps(now, Some(&vm), &steps);
             }
-            Message::Whole(view) => {
+            Message::FullView(view) => {
                 self.dissemination.mark_received(now, &vm);
                 self.replace_view(now, *view);
             }
@@ -479,29 +479,35 @@
                     self.perform(now, effects);
                 }
             }
-            Message::Kept(kept) => self.schedulers.handle_kept(&self.effective, &vm, &kept),
+            Message::CachedPrompts(kept) => {
+                self.schedulers.handle_kept(&self.effective, &vm, &kept)
+            }
             Message::Served(served) => self.schedulers.handle_served(&self.effective, &served),
             Message::Unassigned(epoch) => self.dispatcher.unassigned(now, epoch),
             Message::Listing(_)
             | Message::ListingChange(_)
-            | Message::ListingKept(_)
+            | Message::ListingUnchanged(_)
             | Message::Census(_) => self.handle_listing(now, &vm, message),
-            Message::ListingWanted => self.send_listing(now, &vm),
-            Message::CellWanted(shard, known) => self.answer_cell_request(now, &vm, shard, known),
+            Message::ListingRequest => self.send_listing(now, &vm),
+            Message::CellRequest(shard, known) => self.answer_cell_request(now, &vm, shard, known),
             Message::Cell(shard, answer) => {
-                if self.cells.take(now, &shard, *answer) {
+                if self.cells.apply_answer(now, &shard, *answer) {
                     self.update_effective_view(now);
                 }
             }
-            Message::Introductions(all) => {
+            Message::EndpointDetails(all) => {
                 for (id, endpoint) in all {
-                    self.recent.note(now, id, endpoint);
+                    self.recent.insert(now, id, endpoint);
                 }
             }
-            Message::Subtree(routers) => self.dissemination.handle_subtree(&vm, routers),
-            Message::Size(routers) => self.dissemination.handle_size(&self.parts.hub, routers),
-            Message::Check(sent) => self.answer_check(now, &vm, sent),
-            Message::Checked { sent, age_ms, head } => {
+            Message::SubtreeSize(routers) => self.dissemination.handle_subtree(&vm, routers),
+            Message::FleetSize(routers) => self.dissemination.handle_size(&self.parts.hub, routers),
+            Message::ProofRequest(sent) => self.answer_check(now, &vm, sent),
+            Message::ProofAge {
+                sent,
+                age_ms,
+                version: head,
+            } => {
                 let at = Millis(sent.saturating_sub(age_ms));
                 self.dissemination
                     .handle_checked(&vm, at, head, self.view.version);
@@ -544,7 +550,7 @@
         self.index = Arc::new(Index::from(&self.view.config));
         self.parts
             .journal
-            .note(Event::new(Step::VersionInForce).version(version));
+            .note(Event::new(Kind::VersionInForce).version(version));
         tracing::info!(
             event = Line::VersionInForce.as_str(),
             version = version.0,
@@ -569,16 +575,16 @@
     /// endpoints of shards that are scheduled here and, while a scheduler is unreachable, those
     /// that it recently granted.
     fn build_effective_view(&mut self, now: Millis) -> View {
-        let Some(census) = self.roster.census() else {
-            let mut view = self.view.with_listing(self.roster.listing());
-            view.warm_at = self.roster.warm_at().clone();
+        let Some(census) = self.registry.census() else {
+            let mut view = self.view.with_listing(self.registry.listing());
+            view.warm_at = self.registry.warm_at().clone();
             return view;
         };
         let mut view = self.view.clone();
         view.set_census(census);
-        for roster in self.cells.rosters() {
-            view.add_listing(roster.listing());
-            view.warm_at.extend(roster.warm_at());
+        for registry in self.cells.registries() {
+            view.add_listing(registry.listing());
+            view.warm_at.extend(registry.warm_at());
         }
         self.uses_recent = self.dispatcher.shards().any(|(_, is_up)| !is_up);
         if self.uses_recent {
@@ -602,20 +608,20 @@
     /// Applies a change of the view or of the platform's endpoints.
     fn update_effective_view(&mut self, now: Millis) {
         let mut effective = self.build_effective_view(now);
-        self.returns.follow(now, wall_micros(), &mut effective);
+        self.returns.mark_cold(now, wall_micros(), &mut effective);
         self.effective = Arc::new(effective);
         self.schedulers
             .follow(now, &self.effective, &mut self.batch);
         let effects = self.dispatcher.follow(now, &self.effective);
         self.perform(now, effects);
         if self.parts.serves_callers {
-            self.dispatcher.open_near(now, &self.effective);
+            self.dispatcher.open_nearby(now, &self.effective);
         }
         let shards = coordination::assignment::shards(&self.effective);
         self.shards = shards.len();
         let own = self.effective.assignments.iter();
-        let own = own.filter(|a| a.place.vm == self.me && shards.contains(&a.shard));
-        self.cells.follow(own.map(|a| a.shard.clone()));
+        let own = own.filter(|a| a.node.vm == self.me && shards.contains(&a.shard));
+        self.cells.set_shards(own.map(|a| a.shard.clone()));
         let is_assigned = |shard| self.effective.assignment(shard).is_some();
         self.is_unassigned = !shards.iter().all(is_assigned);
         self.send_to_control(crate::control::Input::Shards(shards));
@@ -629,7 +635,7 @@
                 event = Line::Stopping.as_str(),
                 version = self.view.version.0
             );
-            self.parts.journal.note(Event::new(Step::Stopping));
+            self.parts.journal.note(Event::new(Kind::Stopping));
             self.stopping = true;
             self.dirty = true;
         }
@@ -642,7 +648,7 @@
                 Effect::Report(assignment, report) => {
                     self.dial_scheduler(&assignment);
                     self.batch
-                        .report(&assignment.place.vm, assignment.epoch, report);
+                        .report(&assignment.node.vm, assignment.epoch, report);
                 }
                 Effect::Dispatch(handle, endpoint) => self.dispatch(now, handle, endpoint),
                 Effect::Refuse(handle, refusal) => {
@@ -678,7 +684,7 @@
         let sender = self.decisions.remove(&handle);
         let found = self.endpoint(endpoint);
         let (Some(found), Some(sender)) = (found, sender) else {
-            let gone = coordination::ask::Verdict::Gone;
+            let gone = coordination::messages::Verdict::Cancelled;
             let effects = self.dispatcher.done(now, handle, 0, gone);
             self.perform(now, effects);
             return;
@@ -695,7 +701,7 @@
         };
         if sender.send(Decision::Dispatch(dispatch)).is_err() {
             // The caller disconnected while the grant was in transit: no byte was sent.
-            let gone = coordination::ask::Verdict::Gone;
+            let gone = coordination::messages::Verdict::Cancelled;
             let effects = self.dispatcher.done(now, handle, 0, gone);
             self.perform(now, effects);
         }
@@ -703,8 +709,8 @@
 
     /// Opens a link to a scheduler unless there is one.
     fn dial_scheduler(&mut self, assignment: &Assignment) {
-        if self.dialed_schedulers.insert(assignment.place.vm.clone()) {
-            self.parts.hub.dial(&assignment.place);
+        if self.dialed_schedulers.insert(assignment.node.vm.clone()) {
+            self.parts.hub.dial(&assignment.node);
         }
     }
 
--- a/components/node/src/reactor/peers.rs
+++ b/components/node/src/reactor/peers.rs
@@ -1,12 +1,12 @@
 //! Links to other processes, heartbeats, and the proof that the view is current.
 
 use super::Reactor;
-use coordination::candidacy::Known;
+use coordination::candidacy::Status;
 use protocol::wire::{Message, Query, Reply};
 use state::clock::Millis;
 use state::id::Name;
 use state::line::Line;
-use state::view::{Assignment, Place, Shard};
+use state::view::{Assignment, Node, Shard};
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::sync::oneshot;
 
@@ -24,7 +24,7 @@
     pub(super) fn dial_schedulers(&mut self) {
         let wanted: BTreeMap<Name, Assignment> = (self.dispatcher.shards())
             .filter_map(|(shard, _)| self.effective.assignment(shard))
-            .map(|assignment| (assignment.place.vm.clone(), assignment.clone()))
+            .map(|assignment| (assignment.node.vm.clone(), assignment.clone()))
             .collect();
         self.dialed_schedulers.retain(|vm| wanted.contains_key(vm));
         for assignment in wanted.values() {
@@ -39,7 +39,7 @@
     pub(super) fn close_unused_links(&mut self) {
         let hub = &self.parts.hub;
         let member = self.parts.is_control || self.is_candidate;
-        for vm in hub.dialed() {
+        for vm in hub.dialed_peers() {
             let is_seed = member && self.control_places().iter().any(|s| s.vm == vm);
             let needed = is_seed
                 || self.dissemination.needs(&vm)
@@ -61,8 +61,8 @@
     /// Decides whether this VM offers itself to the leader as a host for schedulers.
     pub(super) fn update_candidacy(&mut self, now: Millis) {
         let is_lost = |(_, is_up): (_, bool)| !is_up;
-        let known = Known {
-            is_assigned: self.view.assignments.iter().any(|a| a.place.vm == self.me),
+        let known = Status {
+            is_assigned: self.view.assignments.iter().any(|a| a.node.vm == self.me),
             is_unscheduled: self.is_unassigned || self.dispatcher.shards().any(is_lost),
             routers: self.dissemination.routers(),
             shards: self.shards,
@@ -71,7 +71,7 @@
         // Otherwise every VM would be one.
         let may_be_candidate = known.is_assigned || known.routers.is_some();
         let is_candidate =
-            self.parts.may_schedule && may_be_candidate && self.candidacy.stands(now, known);
+            self.parts.may_schedule && may_be_candidate && self.candidacy.is_candidate(now, known);
         if is_candidate && !self.is_candidate {
             self.dial_control();
         }
@@ -84,7 +84,7 @@
             return;
         }
         self.next_heartbeat_at = now.after(HEARTBEAT_INTERVAL_MS);
-        let heartbeat = Message::Beat {
+        let heartbeat = Message::Heartbeat {
             region: self.parts.home.region.clone(),
             data_centre: self.parts.home.data_centre.clone(),
             incarnation: self.parts.hub.hello().incarnation,
@@ -96,13 +96,13 @@
 
     /// All known control VMs: the members that the control role here reports, or else those in
     /// the view, followed by the seeds from the settings, which may know of others.
-    pub(super) fn control_places(&self) -> Vec<Place> {
+    pub(super) fn control_places(&self) -> Vec<Node> {
         let members = if self.members.is_empty() {
             &self.view.control
         } else {
             &self.members
         };
-        let mut places: Vec<Place> = members.clone();
+        let mut places: Vec<Node> = members.clone();
         places.extend(self.parts.seeds.iter().cloned());
         let mut seen = BTreeSet::new();
         places.retain(|p| seen.insert(p.vm.clone()));
@@ -132,11 +132,11 @@
         if !self.effective.is_partial() {
             return;
         }
-        for question in self.cells.due(now) {
-            let Some(vm) = self.control_vm(question.turn) else {
+        for question in self.cells.due_queries(now) {
+            let Some(vm) = self.control_vm(question.attempt) else {
                 continue;
             };
-            let wanted = Message::CellWanted(question.shard, question.known);
+            let wanted = Message::CellRequest(question.shard, question.known_id);
             self.parts.hub.send(&vm, wanted);
         }
     }
@@ -160,19 +160,19 @@
     /// Answers a scheduler's request for the endpoints of its shard.
     pub(super) fn answer_cell_request(&mut self, now: Millis, vm: &Name, shard: Shard, known: u64) {
         let service = self.view.config.services.get(&shard.service);
-        let (Some(service), Some(_)) = (service, self.roster.census()) else {
+        let (Some(service), Some(_)) = (service, self.registry.census()) else {
             return;
         };
         // Without the list, or with an outdated one, the answer is left to other control VMs.
-        let is_known = !self.roster.listing().endpoints.is_empty();
-        if !is_known || !self.roster.is_recent(now, CELL_AGE_MAX_MS) {
+        let is_known = !self.registry.listing().endpoints.is_empty();
+        if !is_known || !self.registry.is_recent(now, CELL_AGE_MAX_MS) {
             return;
         }
-        let all = self.roster.listing();
+        let all = self.registry.listing();
         let answer = self
             .catalogue
             .answer(now, &shard, &service.name, all, known);
-        let answer = self.roster.told_answer(now, answer);
+        let answer = self.registry.export_answer(now, answer);
         self.parts
             .hub
             .send(vm, Message::Cell(shard, Box::new(answer)));
@@ -183,10 +183,10 @@
         let Some(verified_at) = self.dissemination.verified_at() else {
             return;
         };
-        let checked = Message::Checked {
+        let checked = Message::ProofAge {
             sent,
             age_ms: now.since(verified_at),
-            head: self.view.version,
+            version: self.view.version,
         };
         self.parts.hub.send(vm, checked);
     }
@@ -198,7 +198,7 @@
         }
         if let Some((at, answer)) = &mut self.pending_proof {
             match answer.try_recv() {
-                Ok(Reply::Head(head)) => {
+                Ok(Reply::CurrentVersion(head)) => {
                     let at = *at;
                     self.dissemination.record_proof(at, head, self.view.version);
                     self.pending_proof = None;
@@ -211,7 +211,8 @@
         if self.dissemination.take_proof_due(now) && self.pending_proof.is_none() {
             let (sender, receiver) = oneshot::channel();
             self.pending_proof = Some((now, receiver));
-            self.queries.ask(now, &self.parts.hub, Query::Head, sender);
+            self.queries
+                .ask(now, &self.parts.hub, Query::CurrentVersion, sender);
         }
     }
 
@@ -233,11 +234,12 @@
         if self.required_version.is_none() && self.should_ask_leader(now) {
             let (at, head) = self.pending_head.get_or_insert_with(|| {
                 let (sender, receiver) = oneshot::channel();
-                self.queries.ask(now, &self.parts.hub, Query::Head, sender);
+                self.queries
+                    .ask(now, &self.parts.hub, Query::CurrentVersion, sender);
                 (now, receiver)
             });
             match head.try_recv() {
-                Ok(Reply::Head(version)) => {
+                Ok(Reply::CurrentVersion(version)) => {
                     // This proves as much as an answer to a check. Without it, a router
                     // that has just found a parent would refuse callers until the next
                     // check, for up to half a second after a full outage.
@@ -281,7 +283,9 @@
     /// Sends other schedulers of the region what the engines of the schedulers here have cached.
     pub(super) fn send_kept(&mut self) {
         for (to, kept) in self.schedulers.take_kept(&self.effective) {
-            self.parts.hub.send(&to.place.vm, Message::Kept(kept));
+            self.parts
+                .hub
+                .send(&to.node.vm, Message::CachedPrompts(kept));
         }
     }
 
@@ -289,9 +293,9 @@
     pub(super) fn send_served(&mut self) {
         let mut wanted = BTreeSet::new();
         for (to, served) in self.schedulers.take_served(&self.effective) {
-            self.parts.hub.dial(&to.place);
-            self.parts.hub.send(&to.place.vm, Message::Served(served));
-            wanted.insert(to.place.vm);
+            self.parts.hub.dial(&to.node);
+            self.parts.hub.send(&to.node.vm, Message::Served(served));
+            wanted.insert(to.node.vm);
         }
         self.dialed_regions = wanted;
     }
--- a/components/node/src/reactor/show.rs
+++ b/components/node/src/reactor/show.rs
@@ -64,7 +64,7 @@
             self.dispatcher.shards().filter(|(_, up)| !up).count(),
         ));
         self.schedulers.update_metrics(&self.effective);
-        let (datagrams, bytes) = self.parts.hub.udp();
+        let (datagrams, bytes) = self.parts.hub.udp_traffic();
         let set = |what, number| {
             metrics
                 .links
@@ -74,7 +74,7 @@
         set("datagrams", datagrams);
         set("datagram_bytes", bytes);
         set("links", self.parts.hub.peers().len() as u64);
-        for (kind, (frames, bytes)) in self.parts.hub.counts().kinds() {
+        for (kind, (frames, bytes)) in self.parts.hub.counts().frames_by_kind() {
             metrics
                 .frames
                 .with_label_values(&[kind, "frames"])
--- a/components/node/src/releases.rs
+++ b/components/node/src/releases.rs
@@ -147,7 +147,7 @@
             return error(StatusCode::BAD_REQUEST, &reason);
         }
     };
-    if !codec::fits(&release) {
+    if !codec::fits_record(&release) {
         return too_large();
     }
     let number = release.number;
@@ -172,10 +172,10 @@
 /// the body is too long.
 fn announced_length(body: &Incoming) -> Option<usize> {
     let Some(length) = body.size_hint().exact() else {
-        return Some(codec::RECORD_MAX);
+        return Some(codec::MAX_RECORD_BYTES);
     };
     let length = usize::try_from(length).ok()?;
-    (length <= codec::RECORD_MAX).then_some(length)
+    (length <= codec::MAX_RECORD_BYTES).then_some(length)
 }
 
 /// Reserves buffer space for a body, with a timeout.
@@ -223,8 +223,8 @@
 /// Returns the newest complete configuration.
 async fn read(parts: &Parts) -> Response<Full<Bytes>> {
     let reading = async {
-        let head = match ask(parts, Query::Head, READ_TIMEOUT).await {
-            Some(Reply::Head(head)) => head,
+        let head = match ask(parts, Query::CurrentVersion, READ_TIMEOUT).await {
+            Some(Reply::CurrentVersion(head)) => head,
             _ => return None,
         };
         loop {
@@ -263,7 +263,7 @@
 
 /// Response to a configuration that is too large.
 fn too_large() -> Response<Full<Bytes>> {
-    let max = codec::RECORD_MAX;
+    let max = codec::MAX_RECORD_BYTES;
     let reason = format!("a configuration may have at most {max} bytes");
     error(StatusCode::PAYLOAD_TOO_LARGE, &reason)
 }
--- a/components/node/src/shared.rs
+++ b/components/node/src/shared.rs
@@ -1,6 +1,6 @@
 //! State that the reactor publishes to the other parts of the process.
 
-use coordination::tree::Confirm;
+use coordination::tree::Confirmation;
 use serde::Serialize;
 use state::clock::Millis;
 use state::config::Index;
@@ -75,7 +75,7 @@
     /// Node that sends the view to this process.
     pub(crate) parent: Option<Name>,
     /// Versions confirmed by this process and all nodes below it.
-    pub(crate) confirmed: Confirm,
+    pub(crate) confirmed: Confirmation,
     /// Peers with a link.
     pub(crate) peers: Vec<Name>,
     /// Number of requests that wait on this router, by customer.
