--- a/components/node/src/batch.rs
+++ b/components/node/src/batch.rs
@@ -13,7 +13,7 @@
     reports: Vec<(Name, Epoch, SmallVec<[Report; 2]>)>,
     grants: Vec<(Name, SmallVec<[Grant; 2]>)>,
     refusals: Vec<(Name, SmallVec<[Refusal; 2]>)>,
-    introductions: Vec<(Name, Vec<(EndpointId, Endpoint)>)>,
+    endpoint_details: Vec<(Name, Vec<(EndpointId, Endpoint)>)>,
 }
 
 impl Batch {
@@ -39,11 +39,11 @@
 
     /// Adds the address of an endpoint for a router. It is sent before the grants that name the
     /// endpoint.
-    pub(crate) fn introduce(&mut self, vm: &Name, id: EndpointId, endpoint: &Endpoint) {
-        let found = self.introductions.iter_mut().find(|(v, _)| v == vm);
+    pub(crate) fn add_endpoint_details(&mut self, vm: &Name, id: EndpointId, endpoint: &Endpoint) {
+        let found = self.endpoint_details.iter_mut().find(|(v, _)| v == vm);
         let Some((_, all)) = found else {
             let all = vec![(id, endpoint.clone())];
-            self.introductions.push((vm.clone(), all));
+            self.endpoint_details.push((vm.clone(), all));
             return;
         };
         if all.iter().all(|(other, _)| *other != id) {
@@ -67,7 +67,7 @@
         for (vm, epoch, reports) in self.reports.drain(..) {
             hub.send(&vm, Message::Reports(epoch, reports));
         }
-        for (vm, all) in self.introductions.drain(..) {
+        for (vm, all) in self.endpoint_details.drain(..) {
             hub.send(&vm, Message::EndpointDetails(all));
         }
         for (vm, grants) in self.grants.drain(..) {
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -31,7 +31,7 @@
 /// Time between two ticks, which drive the timeouts of the replicated log.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Time between two messages to the reactor that the leader is alive, in milliseconds.
-const FRESH_INTERVAL_MS: u64 = 500;
+const CONTACT_INTERVAL_MS: u64 = 500;
 /// Time between two checks for expired suspicions, in milliseconds.
 const EXPIRE_INTERVAL_MS: u64 = 5000;
 /// Largest number of inputs that are handled in one round; their records share one sync.
@@ -86,7 +86,7 @@
 /// Dependencies and settings of the control role.
 pub(crate) struct Parts {
     /// Name and address of this VM.
-    pub(crate) place: Node,
+    pub(crate) node: Node,
     /// Control VMs named in the settings.
     pub(crate) seeds: Vec<Node>,
     /// Rule for which VMs may become members.
@@ -123,7 +123,7 @@
     /// Members as last sent to the reactor.
     members: Vec<Node>,
     /// Addresses of peers with a link, from their greetings.
-    places: HashMap<Name, Node>,
+    nodes: HashMap<Name, Node>,
     /// Queries that wait for an entry to be applied, by its index: term of the entry, VM that
     /// asked, and ID of the query.
     waiters: BTreeMap<Index, (Term, Name, u64)>,
@@ -133,10 +133,10 @@
     next_expire_at: Millis,
     /// Whether this VM was the leader at the last tick.
     was_leader: bool,
-    /// Whether the view was current when this was last sent to the reactor.
-    fresh: bool,
+    /// Whether this VM was in contact with a leader, as last sent to the reactor.
+    has_contact: bool,
     /// When that was last sent.
-    fresh_at: Millis,
+    contact_sent_at: Millis,
 }
 
 impl Control {
@@ -151,16 +151,16 @@
         let store = restore(&start.snapshot)?;
         let me = Member {
             disk: folder.identity(),
-            node: parts.place.clone(),
+            node: parts.node.clone(),
         };
         let mut core = Core::new(me, parts.seeds.clone(), start, parts.clock.now());
         core.set_admission(match parts.admission {
             Admission::Seeds => Admission::Seeds,
             Admission::Open {
-                may_bootstrap: begins,
+                may_bootstrap,
                 voters,
             } => Admission::Open {
-                may_bootstrap: folder.may_bootstrap(begins)?,
+                may_bootstrap: folder.may_bootstrap(may_bootstrap)?,
                 voters,
             },
         });
@@ -171,13 +171,13 @@
             assigner: Assigner::default(),
             shards: BTreeSet::new(),
             members: Vec::new(),
-            places: HashMap::new(),
+            nodes: HashMap::new(),
             waiters: BTreeMap::new(),
             assigned_until: Index(0),
             next_expire_at: Millis(0),
             was_leader: false,
-            fresh: false,
-            fresh_at: Millis(0),
+            has_contact: false,
+            contact_sent_at: Millis(0),
             parts,
         };
         control.send_view();
@@ -222,10 +222,10 @@
         let now = self.parts.clock.now();
         match input {
             Input::Up(hello) => {
-                self.places.insert(hello.place.vm.clone(), hello.place);
+                self.nodes.insert(hello.place.vm.clone(), hello.place);
             }
             Input::Down(vm) => {
-                self.places.remove(&vm);
+                self.nodes.remove(&vm);
                 self.assigner.remove(&vm);
             }
             Input::Message(vm, message) => self.handle_message(now, &vm, message),
@@ -247,13 +247,13 @@
 
     /// Handles a message from a VM whose address is known.
     fn handle_message(&mut self, now: Millis, vm: &Name, message: Message) {
-        let own = (*vm == self.parts.place.vm).then(|| self.parts.place.clone());
-        let Some(place) = own.or_else(|| self.places.get(vm).cloned()) else {
+        let own = (*vm == self.parts.node.vm).then(|| self.parts.node.clone());
+        let Some(node) = own.or_else(|| self.nodes.get(vm).cloned()) else {
             return;
         };
         match message {
             Message::Consensus(envelope) if self.is_control(vm) => {
-                self.core.step(now, &place, envelope);
+                self.core.step(now, &node, envelope);
             }
             Message::Heartbeat {
                 region,
@@ -261,7 +261,7 @@
                 incarnation,
             } => {
                 let site = Site {
-                    node: place,
+                    node,
                     region,
                     data_centre,
                 };
@@ -284,7 +284,7 @@
     /// Answers a query, or proposes the record that it asks for and lets the VM wait.
     fn handle_query(&mut self, now: Millis, vm: &Name, id: u64, query: Query) {
         if !self.core.may_serve(now) {
-            let leader = self.core.leader().filter(|l| l.vm != self.parts.place.vm);
+            let leader = self.core.leader().filter(|l| l.vm != self.parts.node.vm);
             self.reply(vm, id, Reply::NotLeader(leader));
             return;
         }
@@ -348,7 +348,7 @@
                 at: self.parts.clock.stamp(),
                 evidence,
             }),
-            Query::Drain(leaving) => self.departure(leaving).map(Record::Departure),
+            Query::Drain(drain) => self.departure(drain).map(Record::Departure),
             Query::Evacuation(order) => Ok(Record::Evacuation {
                 at: self.parts.clock.stamp(),
                 order,
@@ -357,12 +357,12 @@
     }
 
     /// Converts the names in an announcement of a departure into IDs.
-    fn departure(&self, leaving: Drain) -> Result<Departure, String> {
+    fn departure(&self, drain: Drain) -> Result<Departure, String> {
         let endpoint = |name: &Name| {
             let found = self.store.view.config.endpoint(name);
             found.ok_or_else(|| format!("no endpoint {name} is in force"))
         };
-        match leaving {
+        match drain {
             Drain::Endpoint(name) => endpoint(&name).map(Departure::Endpoint),
             Drain::EndpointBack(name) => endpoint(&name).map(Departure::EndpointBack),
             Drain::Vm(name, incarnation) => Ok(Departure::Vm(name, incarnation)),
@@ -450,8 +450,8 @@
                 break;
             }
             if ready.must_sync() {
-                let hard = self.core.ballot();
-                self.folder.write(&ready, hard)?;
+                let ballot = self.core.ballot();
+                self.folder.write(&ready, ballot)?;
                 let last = self.core.log().last();
                 self.core.synced(last);
             }
@@ -460,7 +460,7 @@
         if self.folder.needs_snapshot() {
             self.compact()?;
         }
-        self.send_fresh();
+        self.send_leader_contact();
         self.send_members();
         Ok(())
     }
@@ -484,8 +484,8 @@
 
     /// Sends messages, installs a snapshot and applies committed entries.
     fn carry_out(&mut self, ready: Ready) -> Result<()> {
-        for (place, envelope) in ready.messages {
-            self.parts.hub.send(&place.vm, Message::Consensus(envelope));
+        for (node, envelope) in ready.messages {
+            self.parts.hub.send(&node.vm, Message::Consensus(envelope));
         }
         if let Some(snapshot) = ready.install {
             self.store = restore(&snapshot)?;
@@ -533,15 +533,15 @@
         Ok(())
     }
 
-    /// Tells the reactor whether the view from this control role is current.
-    fn send_fresh(&mut self) {
+    /// Tells the reactor whether this VM is in contact with a leader, so that its view is current.
+    fn send_leader_contact(&mut self) {
         let now = self.parts.clock.now();
-        let fresh = self.core.has_leader_contact(now);
-        let due = fresh && now.since(self.fresh_at) >= FRESH_INTERVAL_MS;
-        if due || fresh != self.fresh {
-            self.fresh = fresh;
-            self.fresh_at = now;
-            self.send_to_reactor(ReactorInput::Fresh(fresh));
+        let has_contact = self.core.has_leader_contact(now);
+        let due = has_contact && now.since(self.contact_sent_at) >= CONTACT_INTERVAL_MS;
+        if due || has_contact != self.has_contact {
+            self.has_contact = has_contact;
+            self.contact_sent_at = now;
+            self.send_to_reactor(ReactorInput::LeaderContact(has_contact));
         }
     }
 
--- a/components/node/src/dissemination.rs
+++ b/components/node/src/dissemination.rs
@@ -12,19 +12,19 @@
 use std::collections::{BTreeMap, VecDeque};
 use transport::link::Hub;
 
-/// Time between two heartbeats (pulses) that a root sends down the tree, in milliseconds.
-const PULSE_INTERVAL_MS: u64 = 1000;
-/// Time without a pulse after which a process looks for another parent, in milliseconds.
+/// Time between two heartbeats that a root sends down the tree, in milliseconds.
+const ROOT_HEARTBEAT_INTERVAL_MS: u64 = 1000;
+/// Time without a heartbeat after which a process looks for another parent, in milliseconds.
 const PARENT_TIMEOUT_MS: u64 = 3000;
 /// Time for a candidate parent to accept this process, in milliseconds.
 const JOIN_TIMEOUT_MS: u64 = 800;
-/// Time between two checks of whether the view is the newest, in milliseconds.
+/// Time between two requests for a proof that the view is the newest, in milliseconds.
 ///
-/// A proof is at most as old as this plus the round trip of the check, which is well below the
+/// A proof is at most as old as this plus the round trip of the request, which is well below the
 /// age at which routers refuse requests.
-const CHECK_INTERVAL_MS: u64 = 500;
-/// Time between two checks until the first proof, in milliseconds.
-const FIRST_CHECK_INTERVAL_MS: u64 = 100;
+const PROOF_REQUEST_INTERVAL_MS: u64 = 500;
+/// Time between two proof requests until the first proof, in milliseconds.
+const FIRST_PROOF_REQUEST_INTERVAL_MS: u64 = 100;
 /// Time for which a node that was redirected to a control VM of its own data centre is accepted
 /// if it comes back, in milliseconds: that control VM evidently cannot serve it.
 const REDIRECT_MEMORY_MS: u64 = 5000;
@@ -37,9 +37,12 @@
 /// Position of this process in the tree.
 #[derive(Clone, Debug)]
 enum Position {
-    /// The control role of this process supplies the view. `fresh` says whether it follows a live
-    /// leader, and `pulse_at` when the next pulse is due.
-    Root { fresh: bool, pulse_at: Millis },
+    /// The control role of this process supplies the view. `has_leader` says whether that follows
+    /// a live leader, and `heartbeat_at` when the next heartbeat is due.
+    Root {
+        has_leader: bool,
+        heartbeat_at: Millis,
+    },
     /// The process has no parent. `asked` is the candidate that was asked last, at `since`.
     Seeking { asked: Option<Node>, since: Millis },
     /// A parent sends this process the view.
@@ -61,15 +64,15 @@
     redirected: BTreeMap<Name, Millis>,
     /// Recent steps, oldest first.
     history: VecDeque<Step>,
-    /// When the last pulse arrived.
-    last_pulse_at: Option<Millis>,
+    /// When the last heartbeat arrived.
+    last_heartbeat_at: Option<Millis>,
     /// Latest time at which the view was proved to be the newest.
     verified_at: Option<Millis>,
     /// A proof that takes effect once the view has reached its version.
     pending_proof: Option<(Millis, Version)>,
-    /// When the next check, or on a root the next proof, is due.
-    next_check_at: Millis,
-    /// Whether the parent has answered a check.
+    /// When the next proof request, or on a root the next proof, is due.
+    next_proof_request_at: Millis,
+    /// Whether the parent has answered a proof request.
     is_checked: bool,
     /// Confirmation that the parent was last sent.
     sent_confirm: Option<Confirmation>,
@@ -78,7 +81,7 @@
     /// Number of routers below each other root, as last reported.
     subtrees: BTreeMap<Name, u32>,
     /// Number of routers of the fleet, as counted by a root.
-    size: Option<u32>,
+    fleet_size: Option<u32>,
     /// Number of routers that children were last sent.
     sent_size: u32,
     /// Number of routers below this root that the other roots were last sent.
@@ -96,8 +99,8 @@
     ) -> Self {
         let position = if is_root {
             Position::Root {
-                fresh: false,
-                pulse_at: Millis(0),
+                has_leader: false,
+                heartbeat_at: Millis(0),
             }
         } else {
             Position::Seeking {
@@ -113,15 +116,15 @@
             tree: Tree::new(fanout),
             redirected: BTreeMap::new(),
             history: VecDeque::new(),
-            last_pulse_at: None,
+            last_heartbeat_at: None,
             verified_at: None,
             pending_proof: None,
-            next_check_at: Millis(0),
+            next_proof_request_at: Millis(0),
             is_checked: false,
             sent_confirm: None,
             version: Version(0),
             subtrees: BTreeMap::new(),
-            size: None,
+            fleet_size: None,
             sent_size: 0,
             sent_subtree: 0,
         }
@@ -129,16 +132,16 @@
 
     /// Number of routers of the fleet, once a root has counted them.
     pub(crate) fn routers(&self) -> Option<u32> {
-        self.size
+        self.fleet_size
     }
 
     /// Handles the number of routers below another root.
-    pub(crate) fn handle_subtree(&mut self, vm: &Name, routers: u32) {
+    pub(crate) fn handle_subtree_size(&mut self, vm: &Name, routers: u32) {
         self.subtrees.insert(vm.clone(), routers);
     }
 
     /// Handles the number of routers of the fleet, and passes it on to children.
-    pub(crate) fn handle_size(&mut self, hub: &Hub, routers: u32) {
+    pub(crate) fn handle_fleet_size(&mut self, hub: &Hub, routers: u32) {
         if !self.is_root() {
             self.set_size(hub, routers);
         }
@@ -148,7 +151,7 @@
     /// eighth. What depends on it needs no more precision, and otherwise each router that joins or
     /// leaves would cause a message to every other one.
     fn set_size(&mut self, hub: &Hub, routers: u32) {
-        self.size = Some(routers);
+        self.fleet_size = Some(routers);
         if routers.abs_diff(self.sent_size) * SIZE_CHANGE_PARTS <= self.sent_size {
             return;
         }
@@ -187,16 +190,16 @@
         self.seeds = seeds;
     }
 
-    /// Whether the parent has answered a check.
+    /// Whether the parent has answered a proof request.
     pub(crate) fn is_checked(&self) -> bool {
         self.is_checked
     }
 
     /// Whether a new proof is due; if so, schedules the next one.
     pub(crate) fn take_proof_due(&mut self, now: Millis) -> bool {
-        let due = now >= self.next_check_at;
+        let due = now >= self.next_proof_request_at;
         if due {
-            self.next_check_at = now.after(CHECK_INTERVAL_MS);
+            self.next_proof_request_at = now.after(PROOF_REQUEST_INTERVAL_MS);
         }
         due
     }
@@ -218,8 +221,8 @@
         }
     }
 
-    /// Handles the parent's answer to a check.
-    pub(crate) fn handle_checked(
+    /// Handles the parent's answer to a proof request.
+    pub(crate) fn handle_proof_age(
         &mut self,
         from: &Name,
         at: Millis,
@@ -254,13 +257,13 @@
 
     /// Records whether the control role here follows a live leader. If it does not, children are
     /// redirected, because they would receive nothing new from here.
-    pub(crate) fn set_fresh(&mut self, now: Millis, hub: &Hub, is_fresh: bool) {
-        let Position::Root { fresh, .. } = &mut self.position else {
+    pub(crate) fn set_leader_contact(&mut self, now: Millis, hub: &Hub, is_in_contact: bool) {
+        let Position::Root { has_leader, .. } = &mut self.position else {
             return;
         };
-        *fresh = is_fresh;
-        if is_fresh {
-            self.last_pulse_at = Some(now);
+        *has_leader = is_in_contact;
+        if is_in_contact {
+            self.last_heartbeat_at = Some(now);
             return;
         }
         let children: Vec<Name> = self.tree.children().cloned().collect();
@@ -317,8 +320,9 @@
         true
     }
 
-    /// Handles a pulse from the parent, and passes it on to children.
-    pub(crate) fn handle_pulse(
+    /// Handles a heartbeat of a root (`Message::VersionProof`) from the parent, and passes it on to
+    /// children.
+    pub(crate) fn handle_root_heartbeat(
         &mut self,
         now: Millis,
         hub: &Hub,
@@ -333,7 +337,7 @@
         if view.version < head {
             hub.send(from, Message::Subscribe(view.version));
         }
-        self.last_pulse_at = Some(now);
+        self.last_heartbeat_at = Some(now);
         for child in self.tree.children() {
             hub.send(child, Message::VersionProof(head));
         }
@@ -352,7 +356,13 @@
         let Hello {
             place, data_centre, ..
         } = peer;
-        if matches!(self.position, Position::Root { fresh: false, .. }) {
+        if matches!(
+            self.position,
+            Position::Root {
+                has_leader: false,
+                ..
+            }
+        ) {
             self.redirect(hub, &place.vm);
             return false;
         }
@@ -377,7 +387,7 @@
             Message::FullView(Box::new(view.clone()))
         };
         hub.send(&vm, message);
-        if let Some(size) = self.size.filter(|_| !was_child) {
+        if let Some(size) = self.fleet_size.filter(|_| !was_child) {
             hub.send(&vm, Message::FleetSize(size));
         }
         !was_child
@@ -414,7 +424,7 @@
     /// The link to a former parent may stay open for other reasons. The former parent would then
     /// count this process forever, at the version at which it left: more routers would be
     /// confirmed than exist, and a version that is in force everywhere would never be confirmed.
-    /// Every pulse is answered, so a lost answer does no harm.
+    /// Every heartbeat is answered, so a lost answer does no harm.
     fn unsubscribe(&self, hub: &Hub, from: &Name) {
         if !self.is_root() {
             hub.send(from, Message::Unsubscribe);
@@ -432,16 +442,16 @@
     }
 
     /// Handles a redirection to another node by the parent or the candidate that was asked.
-    pub(crate) fn handle_redirect(&mut self, now: Millis, hub: &Hub, from: &Name, place: Node) {
+    pub(crate) fn handle_redirect(&mut self, now: Millis, hub: &Hub, from: &Name, node: Node) {
         let asked = match &self.position {
             Position::Root { .. } => return,
             Position::Seeking { asked, .. } => asked.as_ref(),
             Position::Child { parent } => Some(parent),
         };
-        if asked.is_none_or(|p| p.vm != *from) || place.vm == self.me {
+        if asked.is_none_or(|p| p.vm != *from) || node.vm == self.me {
             return;
         }
-        self.ask_parent(now, hub, place);
+        self.ask_parent(now, hub, node);
     }
 
     /// Handles a new link: subscribes if it leads to the parent or to the candidate.
@@ -472,22 +482,25 @@
         let Position::Seeking { asked, .. } = &self.position else {
             return;
         };
-        if let Some(place) = asked.clone().filter(|p| p.vm == *from) {
-            self.last_pulse_at = self.last_pulse_at.or(Some(now));
-            self.position = Position::Child { parent: place };
+        if let Some(node) = asked.clone().filter(|p| p.vm == *from) {
+            self.last_heartbeat_at = self.last_heartbeat_at.or(Some(now));
+            self.position = Position::Child { parent: node };
             self.is_checked = false;
             self.sent_confirm = None;
         }
     }
 
-    /// Sends pulses, checks and confirmations that are due, and looks for another parent after a
-    /// timeout.
+    /// Sends heartbeats, proof requests and confirmations that are due, and looks for another
+    /// parent after a timeout.
     pub(crate) fn tick(&mut self, now: Millis, hub: &Hub, version: Version) {
         self.version = version;
         match &mut self.position {
-            Position::Root { fresh, pulse_at } => {
-                if *fresh && now >= *pulse_at {
-                    *pulse_at = now.after(PULSE_INTERVAL_MS);
+            Position::Root {
+                has_leader,
+                heartbeat_at,
+            } => {
+                if *has_leader && now >= *heartbeat_at {
+                    *heartbeat_at = now.after(ROOT_HEARTBEAT_INTERVAL_MS);
                     for child in self.tree.children() {
                         hub.send(child, Message::VersionProof(version));
                     }
@@ -499,21 +512,21 @@
                 }
             }
             Position::Child { parent } => {
-                if now >= self.next_check_at {
+                if now >= self.next_proof_request_at {
                     let pause_ms = match self.verified_at {
-                        Some(_) => CHECK_INTERVAL_MS,
-                        None => FIRST_CHECK_INTERVAL_MS,
+                        Some(_) => PROOF_REQUEST_INTERVAL_MS,
+                        None => FIRST_PROOF_REQUEST_INTERVAL_MS,
                     };
-                    self.next_check_at = now.after(pause_ms);
+                    self.next_proof_request_at = now.after(pause_ms);
                     hub.send(&parent.vm, Message::ProofRequest(now.0));
                 }
-                // Pulses originate at roots alone. A parent that is partitioned together
+                // Heartbeats originate at roots alone. A parent that is partitioned together
                 // with this process, or that is its descendant in a cycle, forwards none.
                 if self
-                    .last_pulse_at
+                    .last_heartbeat_at
                     .is_none_or(|at| now.since(at) > PARENT_TIMEOUT_MS)
                 {
-                    self.last_pulse_at = Some(now);
+                    self.last_heartbeat_at = Some(now);
                     self.ask_next_seed(now, hub);
                 }
             }
@@ -558,19 +571,19 @@
         if others.is_empty() {
             return;
         }
-        let place = others[self.next_seed % others.len()].clone();
+        let node = others[self.next_seed % others.len()].clone();
         self.next_seed += 1;
-        self.ask_parent(now, hub, place);
+        self.ask_parent(now, hub, node);
     }
 
     /// Asks a node to become the parent.
-    fn ask_parent(&mut self, now: Millis, hub: &Hub, place: Node) {
-        hub.dial(&place);
-        if hub.is_up(&place.vm) {
-            hub.send(&place.vm, Message::Subscribe(self.version));
+    fn ask_parent(&mut self, now: Millis, hub: &Hub, node: Node) {
+        hub.dial(&node);
+        if hub.is_up(&node.vm) {
+            hub.send(&node.vm, Message::Subscribe(self.version));
         }
         self.position = Position::Seeking {
-            asked: Some(place),
+            asked: Some(node),
             since: now,
         };
     }
--- a/components/node/src/input.rs
+++ b/components/node/src/input.rs
@@ -103,7 +103,7 @@
     /// The control role of this process has restored this view from a snapshot.
     Restored(Box<View>),
     /// Whether the control role of this process follows a live leader.
-    Fresh(bool),
+    LeaderContact(bool),
     /// Whether the control role of this process is the leader.
     Leadership(bool),
     /// Members of the replicated log, voting or not, from the control role of this process.
--- a/components/node/src/monitor.rs
+++ b/components/node/src/monitor.rs
@@ -49,7 +49,7 @@
     /// Lateness of the last probe, in milliseconds.
     last_ms: AtomicU64,
     /// Lateness of the probe before the last one, in milliseconds.
-    before_ms: AtomicU64,
+    previous_ms: AtomicU64,
     /// Requests and connections admitted since the last probe.
     admitted: AtomicU64,
     /// Connections admitted since the last probe.
@@ -83,7 +83,7 @@
         let load = |of: &AtomicU64| of.load(Ordering::Relaxed);
         let probes = Probes {
             last_ms: load(&self.shared.last_ms),
-            previous_ms: load(&self.shared.before_ms),
+            previous_ms: load(&self.shared.previous_ms),
             overdue_ms: self.elapsed_ms().saturating_sub(load(&self.shared.due_ms)),
             admitted: load(&self.shared.admitted),
         };
@@ -103,8 +103,8 @@
 
     /// Decides what to do with an accepted connection, and counts it.
     pub(crate) fn admit_connection(&self) -> Admission {
-        let intake = self.decide_connection();
-        match intake {
+        let admission = self.decide_connection();
+        match admission {
             Admission::Admit => {
                 self.shared.admitted.fetch_add(1, Ordering::Relaxed);
                 self.shared.accepted.fetch_add(1, Ordering::Relaxed);
@@ -114,13 +114,13 @@
             }
             Admission::Refuse | Admission::Wait => {}
         }
-        intake
+        admission
     }
 
     /// Decides what to do with a connection.
     fn decide_connection(&self) -> Admission {
-        let takes = self.shared.connections_max.load(Ordering::Relaxed);
-        Admission::for_connection(self.ms(), self.arrivals(), takes)
+        let connections_max = self.shared.connections_max.load(Ordering::Relaxed);
+        Admission::for_connection(self.ms(), self.arrivals(), connections_max)
     }
 
     /// Connections that arrived since the last probe.
@@ -133,11 +133,11 @@
 
     /// Decides what to do with a request whose head was read, and counts it.
     pub(crate) fn admit_request(&self) -> Admission {
-        let intake = Admission::for_request(self.ms());
-        if intake == Admission::Admit {
+        let admission = Admission::for_request(self.ms());
+        if admission == Admission::Admit {
             self.shared.admitted.fetch_add(1, Ordering::Relaxed);
         }
-        intake
+        admission
     }
 
     /// Whether new connections should go to other routers.
@@ -165,12 +165,12 @@
 
     /// Lateness on which the limit is based, in milliseconds: that of the last probe if much work
     /// was admitted before it, and otherwise the smaller one of the last two probes.
-    fn lasting_ms(&self) -> u64 {
+    fn sustained_ms(&self) -> u64 {
         let load = |of: &AtomicU64| of.load(Ordering::Relaxed);
         let shared = &self.shared;
         Probes::sustained(
             load(&shared.last_ms),
-            load(&shared.before_ms),
+            load(&shared.previous_ms),
             load(&shared.admitted),
         )
     }
@@ -193,7 +193,7 @@
         tokio::time::sleep(PROBE_INTERVAL).await;
         let late_ms = self.elapsed_ms().saturating_sub(due_ms);
         let last_ms = self.shared.last_ms.swap(late_ms, Ordering::Relaxed);
-        self.shared.before_ms.store(last_ms, Ordering::Relaxed);
+        self.shared.previous_ms.store(last_ms, Ordering::Relaxed);
         late_ms
     }
 }
@@ -222,7 +222,7 @@
             lateness_ms = lateness.probe() => lateness_ms,
             () = cancelled(&mut stop) => return,
         };
-        limit.probe(lateness.lasting_ms(), lateness.arrivals().admitted);
+        limit.probe(lateness.sustained_ms(), lateness.arrivals().admitted);
         lateness.reset(limit.connections_max());
         let is_full = metrics.connections.get() >= connections;
         let now = Millis(lateness.elapsed_ms());
--- a/components/node/src/operators.rs
+++ b/components/node/src/operators.rs
@@ -230,7 +230,7 @@
 /// Announces that an endpoint or a VM is leaving, or that an endpoint is back.
 async fn depart(parts: &Parts, query: &BTreeMap<String, String>) -> Page {
     let name = |key: &str| query.get(key).map(|v| Name::try_from(v.as_str()));
-    let leaving = match (name("endpoint"), name("endpoint-back"), name("vm")) {
+    let drain = match (name("endpoint"), name("endpoint-back"), name("vm")) {
         (Some(Ok(name)), None, None) => Drain::Endpoint(name),
         (None, Some(Ok(name)), None) => Drain::EndpointBack(name),
         (None, None, Some(Ok(name))) => {
@@ -250,7 +250,7 @@
             )
         }
     };
-    propose(parts, Query::Drain(leaving)).await
+    propose(parts, Query::Drain(drain)).await
 }
 
 /// Evacuates a data centre, or ends its evacuation.
@@ -273,12 +273,12 @@
             return error(StatusCode::BAD_REQUEST, &reason);
         }
     };
-    let clearance = Completion {
+    let completion = Completion {
         fingerprint,
         at: parts.clock.stamp(),
     };
     let evidence = Evidence {
-        cleared: vec![clearance],
+        cleared: vec![completion],
         ..Evidence::default()
     };
     propose(parts, Query::Evidence(evidence)).await
--- a/components/node/src/platform.rs
+++ b/components/node/src/platform.rs
@@ -85,13 +85,13 @@
         leaves,
         version = view.version.0,
     );
-    let leaving = if leaves {
+    let drain = if leaves {
         Drain::Endpoint(name)
     } else {
         Drain::EndpointBack(name)
     };
     let (sender, receiver) = oneshot::channel();
-    let _ = reactor.send(Input::Query(Query::Drain(leaving), sender));
+    let _ = reactor.send(Input::Query(Query::Drain(drain), sender));
     // A change that is not answered is repeated after the next list that contains it.
     let _ = tokio::time::timeout(ACCEPT_TIMEOUT, receiver).await;
 }
--- a/components/node/src/process.rs
+++ b/components/node/src/process.rs
@@ -216,7 +216,7 @@
     settings: Settings,
     interface: Interface,
     socket: Socket,
-    place: Node,
+    node: Node,
     incarnation: u64,
     clock: Clock,
     journal: Journal,
@@ -228,7 +228,7 @@
         let address = socket.address()?;
         let clock = Clock::default();
         Ok(Starter {
-            place: Node {
+            node: Node {
                 vm: settings.vm.name.clone(),
                 address,
             },
@@ -247,8 +247,8 @@
     fn seeds(&self) -> Vec<Node> {
         let mut seeds: Vec<Node> = self.settings.peers.places().to_vec();
         for seed in &mut seeds {
-            if seed.vm == self.place.vm && seed.address.port() == 0 {
-                seed.address = self.place.address;
+            if seed.vm == self.node.vm && seed.address.port() == 0 {
+                seed.address = self.node.address;
             }
         }
         seeds
@@ -332,7 +332,7 @@
             self.settings.operators.listen.to_string(),
         ))?;
         let hello = Hello {
-            place: self.place.clone(),
+            place: self.node.clone(),
             incarnation: self.incarnation,
             operator_address: operators_address,
             data_centre: self.settings.vm.data_centre.clone(),
@@ -358,7 +358,7 @@
         let control = match (&self.settings.control, &to_control) {
             (Some(settings), Some(sender)) => {
                 let control = Control::open(control::Parts {
-                    place: self.place.clone(),
+                    node: self.node.clone(),
                     seeds: seeds.clone(),
                     admission: admission(&self.settings.peers, settings),
                     data: settings.data.clone(),
@@ -391,7 +391,7 @@
             journal: self.journal.clone(),
             metrics: self.metrics.clone(),
             seeds,
-            listing_ms: (self.settings.listing.as_ref())
+            listing_interval_ms: (self.settings.listing.as_ref())
                 .map_or(DEFAULT_LISTING_INTERVAL_MS, |l| l.every_ms),
             home: Location {
                 region: self.settings.vm.region.clone(),
@@ -492,13 +492,13 @@
             tasks.push(tokio::spawn(frontend.run(listener, stopped)));
         }
         let addresses = Addresses {
-            link: self.place.address,
+            link: self.node.address,
             callers,
             operators: operators_address,
         };
         tracing::info!(
             event = Line::Started.as_str(),
-            vm = %self.place.vm,
+            vm = %self.node.vm,
             incarnation = self.incarnation,
             link = %addresses.link,
             operators = %addresses.operators,
--- a/components/node/src/quarantine.rs
+++ b/components/node/src/quarantine.rs
@@ -46,7 +46,7 @@
     pub(crate) fn is_quarantined(&self, fingerprint: &Fingerprint) -> bool {
         let both = [&self.fleet, &self.own];
         let mut found = both.iter().filter_map(|all| all.get(fingerprint));
-        found.any(|standing| *standing == Status::Quarantined)
+        found.any(|status| *status == Status::Quarantined)
     }
 }
 
@@ -106,12 +106,12 @@
         self.publish();
     }
 
-    /// Handles a clearance: an endpoint has answered a suspected request completely.
-    pub(crate) fn handle_clearance(&mut self, clearance: Completion) {
-        self.own.record_completion(&clearance);
-        let is_other = |c: &Completion| c.fingerprint != clearance.fingerprint;
+    /// Handles a completion: an endpoint has answered a suspected request completely.
+    pub(crate) fn handle_completion(&mut self, completion: Completion) {
+        self.own.record_completion(&completion);
+        let is_other = |c: &Completion| c.fingerprint != completion.fingerprint;
         self.pending.cleared.retain(is_other);
-        let cleared = vec![clearance];
+        let cleared = vec![completion];
         self.relay(Evidence {
             cleared,
             ..Evidence::default()
--- a/components/node/src/reactor/listing.rs
+++ b/components/node/src/reactor/listing.rs
@@ -25,7 +25,7 @@
         let seed = self.parts.hub.hello().incarnation;
         let timeout_ms = self
             .registry
-            .read_delay_ms(reader, self.parts.listing_ms, seed);
+            .read_delay_ms(reader, self.parts.listing_interval_ms, seed);
         timeout_ms.is_some_and(|ms| self.registry.is_due(now, ms))
     }
 
--- a/components/node/src/reactor/mod.rs
+++ b/components/node/src/reactor/mod.rs
@@ -44,7 +44,7 @@
 /// Largest number of inputs that are handled before the messages they caused are sent.
 const MAX_INPUTS_PER_ROUND: usize = 256;
 /// Time between two messages to other schedulers about newly cached prompts, in milliseconds.
-const KEPT_INTERVAL_MS: u64 = 200;
+const CACHED_INTERVAL_MS: u64 = 200;
 /// Time between two updates of the gauges, in milliseconds.
 const MEASURE_INTERVAL_MS: u64 = 1000;
 
@@ -61,7 +61,7 @@
     /// Control VMs named in the settings.
     pub(crate) seeds: Vec<Node>,
     /// Time between two reads of the platform's list of endpoints, in milliseconds.
-    pub(crate) listing_ms: u64,
+    pub(crate) listing_interval_ms: u64,
     /// Region, data centre and incarnation of this VM.
     pub(crate) home: Location,
     /// Limits on queued requests and their bytes.
@@ -104,7 +104,7 @@
     /// Endpoints by shard, to answer schedulers that ask for those of their shard.
     catalogue: Catalogue,
     /// Endpoints of the shards that are scheduled here, where no process knows the whole list.
-    cells: Poller,
+    cell_poller: Poller,
     /// Endpoints that schedulers recently granted to this router.
     recent: Recent,
     /// Whether `effective` includes endpoints of `recent`.
@@ -112,7 +112,7 @@
     /// Number of shards that have endpoints.
     shards: usize,
     /// Data centres that recently returned from an evacuation.
-    returns: Failbacks,
+    failbacks: Failbacks,
     /// Members of the replicated log, as reported by the control role of this process.
     members: Vec<Node>,
     /// Whether the control role of this process is the leader.
@@ -161,7 +161,7 @@
     /// When the next update of the gauges is due.
     next_measure_at: Millis,
     /// When the next message about newly cached prompts is due.
-    next_kept_at: Millis,
+    next_cached_at: Millis,
     /// Dependencies as they were last logged.
     logged: Logged,
     /// Whether new callers should use other routers, because this VM schedules for many.
@@ -207,11 +207,11 @@
             listing_received_at: None,
             sent_census: 0,
             catalogue: Catalogue::new(hello.incarnation),
-            cells: Poller::default(),
+            cell_poller: Poller::default(),
             recent: Recent::default(),
             uses_recent: false,
             shards: 0,
-            returns: Failbacks::default(),
+            failbacks: Failbacks::default(),
             members: Vec::new(),
             is_leader: false,
             has_leader: false,
@@ -232,7 +232,7 @@
             is_unassigned: false,
             next_heartbeat_at: now,
             next_measure_at: now,
-            next_kept_at: now,
+            next_cached_at: now,
             logged: Logged::default(),
             dedicated: false,
             evacuated: BTreeSet::new(),
@@ -323,25 +323,26 @@
             }
             Input::Backoff(handle, backoff) => self.handle_backoff(now, handle, backoff),
             Input::Crashed(crash) => self.quarantine.handle_crash(crash),
-            Input::Cleared(clearance) => self.quarantine.handle_clearance(clearance),
+            Input::Cleared(completion) => self.quarantine.handle_completion(completion),
             Input::Query(query, answer) => self.queries.ask(now, &self.parts.hub, query, answer),
             Input::Load(endpoint, load) => self.schedulers.handle_load(now, endpoint, load),
             Input::Applied(steps) => self.apply_steps(now, None, &steps),
             Input::Restored(view) => self.replace_view(now, *view),
-            Input::Fresh(fresh) => {
-                self.has_leader = fresh;
-                self.dissemination.set_fresh(now, &self.parts.hub, fresh);
+            Input::LeaderContact(has_leader) => {
+                self.has_leader = has_leader;
+                self.dissemination
+                    .set_leader_contact(now, &self.parts.hub, has_leader);
                 self.dirty = true;
             }
             Input::Leadership(leads) => self.is_leader = leads,
             Input::Members(members) => {
                 self.members = members;
-                self.update_control_places();
+                self.update_control_nodes();
             }
             Input::Seeds(seeds) => {
                 self.parts.seeds.clone_from(&seeds);
                 self.send_to_control(crate::control::Input::Seeds(seeds));
-                self.update_control_places();
+                self.update_control_nodes();
             }
             Input::ListingDue(reply) => {
                 // The receiver may have been dropped.
@@ -445,8 +446,13 @@
             }
             Message::VersionProof(head) => {
                 self.dissemination.mark_received(now, &vm);
-                self.dissemination
-                    .handle_pulse(now, &self.parts.hub, &vm, &self.view, head);
+                self.dissemination.handle_root_heartbeat(
+                    now,
+                    &self.parts.hub,
+                    &vm,
+                    &self.view,
+                    head,
+                );
                 self.dirty = true;
             }
             Message::Updates(steps) => {
@@ -479,8 +485,8 @@
                     self.perform(now, effects);
                 }
             }
-            Message::CachedPrompts(kept) => {
-                self.schedulers.handle_kept(&self.effective, &vm, &kept)
+            Message::CachedPrompts(cached) => {
+                self.schedulers.handle_cached(&self.effective, &vm, &cached)
             }
             Message::Served(served) => self.schedulers.handle_served(&self.effective, &served),
             Message::Unassigned(epoch) => self.dispatcher.unassigned(now, epoch),
@@ -491,7 +497,7 @@
             Message::ListingRequest => self.send_listing(now, &vm),
             Message::CellRequest(shard, known) => self.answer_cell_request(now, &vm, shard, known),
             Message::Cell(shard, answer) => {
-                if self.cells.apply_answer(now, &shard, *answer) {
+                if self.cell_poller.apply_answer(now, &shard, *answer) {
                     self.update_effective_view(now);
                 }
             }
@@ -500,17 +506,19 @@
                     self.recent.insert(now, id, endpoint);
                 }
             }
-            Message::SubtreeSize(routers) => self.dissemination.handle_subtree(&vm, routers),
-            Message::FleetSize(routers) => self.dissemination.handle_size(&self.parts.hub, routers),
-            Message::ProofRequest(sent) => self.answer_check(now, &vm, sent),
+            Message::SubtreeSize(routers) => self.dissemination.handle_subtree_size(&vm, routers),
+            Message::FleetSize(routers) => self
+                .dissemination
+                .handle_fleet_size(&self.parts.hub, routers),
+            Message::ProofRequest(sent) => self.answer_proof_request(now, &vm, sent),
             Message::ProofAge {
                 sent,
                 age_ms,
-                version: head,
+                version,
             } => {
                 let at = Millis(sent.saturating_sub(age_ms));
                 self.dissemination
-                    .handle_checked(&vm, at, head, self.view.version);
+                    .handle_proof_age(&vm, at, version, self.view.version);
                 self.dirty = true;
             }
         }
@@ -562,7 +570,7 @@
         self.quarantine.follow(&self.view.suspects);
         self.log_evacuations();
         self.update_effective_view(now);
-        self.update_control_places();
+        self.update_control_nodes();
         let stopping = self.view.stopping.get(&self.me);
         if stopping == Some(&self.parts.hub.hello().incarnation) {
             self.stop();
@@ -582,7 +590,7 @@
         };
         let mut view = self.view.clone();
         view.set_census(census);
-        for registry in self.cells.registries() {
+        for registry in self.cell_poller.registries() {
             view.add_listing(registry.listing());
             view.warm_at.extend(registry.warm_at());
         }
@@ -608,7 +616,7 @@
     /// Applies a change of the view or of the platform's endpoints.
     fn update_effective_view(&mut self, now: Millis) {
         let mut effective = self.build_effective_view(now);
-        self.returns.mark_cold(now, wall_micros(), &mut effective);
+        self.failbacks.mark_cold(now, wall_micros(), &mut effective);
         self.effective = Arc::new(effective);
         self.schedulers
             .follow(now, &self.effective, &mut self.batch);
@@ -621,7 +629,7 @@
         self.shards = shards.len();
         let own = self.effective.assignments.iter();
         let own = own.filter(|a| a.node.vm == self.me && shards.contains(&a.shard));
-        self.cells.set_shards(own.map(|a| a.shard.clone()));
+        self.cell_poller.set_shards(own.map(|a| a.shard.clone()));
         let is_assigned = |shard| self.effective.assignment(shard).is_some();
         self.is_unassigned = !shards.iter().all(is_assigned);
         self.send_to_control(crate::control::Input::Shards(shards));
@@ -740,9 +748,9 @@
         self.request_cells(now);
         self.update_readiness(now);
         self.log_dependencies(now);
-        if now >= self.next_kept_at {
-            self.next_kept_at = now.after(KEPT_INTERVAL_MS);
-            self.send_kept();
+        if now >= self.next_cached_at {
+            self.next_cached_at = now.after(CACHED_INTERVAL_MS);
+            self.send_cached();
         }
         if now >= self.next_measure_at {
             self.next_measure_at = now.after(MEASURE_INTERVAL_MS);
--- a/components/node/src/reactor/peers.rs
+++ b/components/node/src/reactor/peers.rs
@@ -40,7 +40,7 @@
         let hub = &self.parts.hub;
         let member = self.parts.is_control || self.is_candidate;
         for vm in hub.dialed_peers() {
-            let is_seed = member && self.control_places().iter().any(|s| s.vm == vm);
+            let is_seed = member && self.control_nodes().iter().any(|s| s.vm == vm);
             let needed = is_seed
                 || self.dissemination.needs(&vm)
                 || self.queries.needs(&vm)
@@ -89,38 +89,38 @@
             data_centre: self.parts.home.data_centre.clone(),
             incarnation: self.parts.hub.hello().incarnation,
         };
-        for seed in self.control_places() {
+        for seed in self.control_nodes() {
             self.parts.hub.send(&seed.vm, heartbeat.clone());
         }
     }
 
     /// All known control VMs: the members that the control role here reports, or else those in
     /// the view, followed by the seeds from the settings, which may know of others.
-    pub(super) fn control_places(&self) -> Vec<Node> {
+    pub(super) fn control_nodes(&self) -> Vec<Node> {
         let members = if self.members.is_empty() {
             &self.view.control
         } else {
             &self.members
         };
-        let mut places: Vec<Node> = members.clone();
-        places.extend(self.parts.seeds.iter().cloned());
+        let mut nodes: Vec<Node> = members.clone();
+        nodes.extend(self.parts.seeds.iter().cloned());
         let mut seen = BTreeSet::new();
-        places.retain(|p| seen.insert(p.vm.clone()));
-        places
+        nodes.retain(|p| seen.insert(p.vm.clone()));
+        nodes
     }
 
     /// Opens links to all known control VMs.
     pub(super) fn dial_control(&self) {
-        for place in self.control_places() {
-            self.parts.hub.dial(&place);
+        for node in self.control_nodes() {
+            self.parts.hub.dial(&node);
         }
     }
 
     /// Applies a change of the known control VMs.
-    pub(super) fn update_control_places(&mut self) {
-        let places = self.control_places();
-        self.dissemination.set_seeds(places.clone());
-        self.queries.set_seeds(places);
+    pub(super) fn update_control_nodes(&mut self) {
+        let nodes = self.control_nodes();
+        self.dissemination.set_seeds(nodes.clone());
+        self.queries.set_seeds(nodes);
         if self.parts.is_control || self.is_candidate {
             self.dial_control();
         }
@@ -132,7 +132,7 @@
         if !self.effective.is_partial() {
             return;
         }
-        for question in self.cells.due_queries(now) {
+        for question in self.cell_poller.due_queries(now) {
             let Some(vm) = self.control_vm(question.attempt) else {
                 continue;
             };
@@ -148,8 +148,8 @@
             let peer = peers.iter().find(|p| p.place.vm == *vm);
             peer.map(|p| &p.data_centre)
         };
-        let places = self.control_places();
-        let linked = places.iter().map(|p| &p.vm);
+        let nodes = self.control_nodes();
+        let linked = nodes.iter().map(|p| &p.vm);
         let mut linked: Vec<&Name> = linked.filter(|vm| self.parts.hub.is_up(vm)).collect();
         let own = Some(&self.parts.home.data_centre);
         linked.sort_by_key(|vm| (data_centre(vm) != own, *vm));
@@ -178,17 +178,17 @@
             .send(vm, Message::Cell(shard, Box::new(answer)));
     }
 
-    /// Answers a child's check: until when this process's view is known to be the newest.
-    pub(super) fn answer_check(&self, now: Millis, vm: &Name, sent: u64) {
+    /// Answers a child's proof request with the age of this process's own proof.
+    pub(super) fn answer_proof_request(&self, now: Millis, vm: &Name, sent: u64) {
         let Some(verified_at) = self.dissemination.verified_at() else {
             return;
         };
-        let checked = Message::ProofAge {
+        let answer = Message::ProofAge {
             sent,
             age_ms: now.since(verified_at),
             version: self.view.version,
         };
-        self.parts.hub.send(vm, checked);
+        self.parts.hub.send(vm, answer);
     }
 
     /// On a root of the tree, asks the leader for a proof that the view is the newest.
@@ -240,9 +240,9 @@
             });
             match head.try_recv() {
                 Ok(Reply::CurrentVersion(version)) => {
-                    // This proves as much as an answer to a check. Without it, a router
+                    // This proves as much as an answer to a proof request. Without it, a router
                     // that has just found a parent would refuse callers until the next
-                    // check, for up to half a second after a full outage.
+                    // request, for up to half a second after a full outage.
                     self.dissemination
                         .record_proof(*at, version, self.view.version);
                     self.required_version = Some(version);
@@ -281,11 +281,11 @@
     }
 
     /// Sends other schedulers of the region what the engines of the schedulers here have cached.
-    pub(super) fn send_kept(&mut self) {
-        for (to, kept) in self.schedulers.take_kept(&self.effective) {
+    pub(super) fn send_cached(&mut self) {
+        for (to, cached) in self.schedulers.take_cached(&self.effective) {
             self.parts
                 .hub
-                .send(&to.node.vm, Message::CachedPrompts(kept));
+                .send(&to.node.vm, Message::CachedPrompts(cached));
         }
     }
 
--- a/components/node/src/schedulers.rs
+++ b/components/node/src/schedulers.rs
@@ -30,7 +30,7 @@
     endpoints: BTreeMap<EndpointId, Endpoint>,
     /// Whether grants have to carry the endpoint's address, because routers do not know the
     /// endpoints of this shard.
-    introduces: bool,
+    sends_endpoint_details: bool,
     /// Schedulers that were sent the whole cache contents and now get changes alone.
     synced: BTreeSet<Epoch>,
     /// Channel for queries of an engine's prompt cache, if engines can list it.
@@ -104,7 +104,7 @@
                 sessions: BTreeMap::new(),
                 routers: BTreeMap::new(),
                 endpoints: BTreeMap::new(),
-                introduces: false,
+                sends_endpoint_details: false,
                 synced: BTreeSet::new(),
                 inquiries: self.inquiries.clone(),
             };
@@ -120,7 +120,7 @@
             };
             let known = endpoints(view, &assigned.shard);
             assigned.endpoints = known.filter_map(|e| found(e.0)).collect();
-            assigned.introduces = view.is_partial();
+            assigned.sends_endpoint_details = view.is_partial();
             slots.retain(|id| assigned.endpoints.contains_key(&id));
             set_engines(slots, view, &assigned.shard);
             for (id, count, lead, leaving) in endpoints(view, &assigned.shard) {
@@ -195,7 +195,7 @@
 
     /// Newly cached prompts of each scheduler's engines, with the schedulers of the same service
     /// and region that they are sent to, so that these do not copy the prompts to another engine.
-    pub(crate) fn take_kept(&mut self, view: &View) -> Vec<(Assignment, Vec<Cached>)> {
+    pub(crate) fn take_cached(&mut self, view: &View) -> Vec<(Assignment, Vec<Cached>)> {
         let mut all = Vec::new();
         for assigned in self.all.values_mut() {
             let fresh = assigned.scheduler.take_new_cached();
@@ -213,12 +213,12 @@
                 .synced
                 .retain(|e| others.iter().any(|a| a.epoch == *e));
             for to in others {
-                let kept = match assigned.synced.insert(to.epoch) {
+                let cached = match assigned.synced.insert(to.epoch) {
                     true => assigned.scheduler.all_cached(),
                     false => fresh.clone(),
                 };
-                if !kept.is_empty() {
-                    all.push((to.clone(), kept));
+                if !cached.is_empty() {
+                    all.push((to.clone(), cached));
                 }
             }
         }
@@ -226,7 +226,7 @@
     }
 
     /// Handles a message about prompts that engines of another scheduler have cached.
-    pub(crate) fn handle_kept(&mut self, view: &View, from: &Name, kept: &[Cached]) {
+    pub(crate) fn handle_cached(&mut self, view: &View, from: &Name, cached: &[Cached]) {
         for assigned in self.all.values_mut() {
             let shard = &assigned.shard;
             let is_other = |a: &&Assignment| {
@@ -235,7 +235,7 @@
             };
             let mut others = view.assignments.iter().filter(is_other);
             if others.any(|a| a.node.vm == *from) {
-                assigned.scheduler.merge_cached(kept);
+                assigned.scheduler.merge_cached(cached);
             }
         }
     }
@@ -350,7 +350,7 @@
     }
 
     /// Logs each scheduler's estimate of its queue and endpoints.
-    fn log_beliefs(&self, view: &View) {
+    fn log_summaries(&self, view: &View) {
         for (epoch, assigned) in &self.all {
             let summary = assigned.scheduler.summary();
             tracing::info!(
@@ -374,7 +374,7 @@
 
     /// Updates the gauges.
     pub(crate) fn update_metrics(&mut self, view: &View) {
-        self.log_beliefs(view);
+        self.log_summaries(view);
         self.log_shares(view);
         for status in self.status(view) {
             let service = view.config.service_name(status.shard.service);
@@ -451,11 +451,12 @@
                         continue;
                     };
                     metrics.grants.inc();
-                    if self.introduces {
+                    if self.sends_endpoint_details {
                         let ids = std::iter::once(grant.endpoint).chain(grant.copy_from);
                         for id in ids {
                             let endpoint = self.endpoints.get(&id);
-                            endpoint.inspect(|endpoint| batch.introduce(vm, id, endpoint));
+                            endpoint
+                                .inspect(|endpoint| batch.add_endpoint_details(vm, id, endpoint));
                         }
                     }
                     batch.grant(vm, grant);
