--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -600,7 +600,7 @@
 fn check_size(record: Record) -> Result<Record, String> {
     if record.is_large() && !codec::fits_record(&record) {
         return Err(format!(
-            "the record has more than {} bytes",
+            "it has more than {} bytes",
             codec::MAX_RECORD_BYTES
         ));
     }
--- a/components/node/src/dissemination.rs
+++ b/components/node/src/dissemination.rs
@@ -73,7 +73,7 @@
     /// When the next proof request, or on a root the next proof, is due.
     next_proof_request_at: Millis,
     /// Whether the parent has answered a proof request.
-    is_checked: bool,
+    has_proof_answer: bool,
     /// Confirmation that the parent was last sent.
     sent_confirm: Option<Confirmation>,
     /// Version of the view at the last tick.
@@ -120,7 +120,7 @@
             verified_at: None,
             pending_proof: None,
             next_proof_request_at: Millis(0),
-            is_checked: false,
+            has_proof_answer: false,
             sent_confirm: None,
             version: Version(0),
             subtrees: BTreeMap::new(),
@@ -191,8 +191,8 @@
     }
 
     /// Whether the parent has answered a proof request.
-    pub(crate) fn is_checked(&self) -> bool {
-        self.is_checked
+    pub(crate) fn has_proof_answer(&self) -> bool {
+        self.has_proof_answer
     }
 
     /// Whether a new proof is due; if so, schedules the next one.
@@ -230,7 +230,7 @@
         version: Version,
     ) {
         if self.parent() == Some(from) {
-            self.is_checked = true;
+            self.has_proof_answer = true;
             self.record_proof(at, head, version);
         }
     }
@@ -485,7 +485,7 @@
         if let Some(node) = asked.clone().filter(|p| p.vm == *from) {
             self.last_heartbeat_at = self.last_heartbeat_at.or(Some(now));
             self.position = Position::Child { parent: node };
-            self.is_checked = false;
+            self.has_proof_answer = false;
             self.sent_confirm = None;
         }
     }
--- a/components/node/src/metric.rs
+++ b/components/node/src/metric.rs
@@ -183,8 +183,11 @@
                 "cowslipford_request_seconds",
                 "Time from arrival to the end.",
             )?,
-            retries: counter("cowslipford_retries_total", "Attempts after the first one.")?,
-            evacuated: gauge("cowslipford_evacuated", "Evacuated data centres.")?,
+            retries: counter("cowslipford_retries_total", "Tries after the first.")?,
+            evacuated: gauge(
+                "cowslipford_evacuated",
+                "Data centres whose endpoints get no requests.",
+            )?,
             waiting: gauge("cowslipford_waiting", "Requests that wait on this router.")?,
             in_progress: gauge(
                 "cowslipford_in_progress",
@@ -198,78 +201,71 @@
                 "cowslipford_requests_asked_total",
                 "Requests whose head was read.",
             )?,
-            attempts: counter(
-                "cowslipford_tries_sent_total",
-                "Attempts sent to endpoints.",
-            )?,
+            attempts: counter("cowslipford_tries_sent_total", "Tries sent to endpoints.")?,
             closed_unread: counter(
                 "cowslipford_connections_turned_away_total",
-                "Connections closed unread: tasks ran late or the limit was reached.",
+                "Connections closed unread, since tasks ran late or there was no place for them.",
             )?,
             unlogged_refusals: counter(
                 "cowslipford_untold_refusals_total",
                 "Requests refused while tasks ran late, without a log line.",
             )?,
-            connections: gauge("cowslipford_connections", "Open connections of callers.")?,
+            connections: gauge("cowslipford_connections", "Callers' connections.")?,
             open_requests: gauge(
                 "cowslipford_requests_here",
-                "Requests whose head was read and that have not ended.",
+                "Requests that have a head and have not ended.",
             )?,
             body_bytes: gauge(
                 "cowslipford_body_bytes",
-                "Bytes of request bodies in memory.",
+                "Bytes of bodies that arrive, wait or run.",
             )?,
             idle_connections: gauge(
                 "cowslipford_kept_connections",
-                "Idle pooled connections to endpoints.",
+                "Idle connections kept to endpoints.",
             )?,
             queued_inputs: gauge(
                 "cowslipford_reactor_inputs",
-                "Inputs in the reactor's queue.",
+                "Inputs that wait for the reactor.",
             )?,
             resident_bytes: gauge(
                 "cowslipford_resident_bytes",
-                "Resident memory of the process in bytes.",
+                "Memory that the process holds.",
             )?,
             lateness_ms: gauge(
                 "cowslipford_late_milliseconds",
-                "Largest lateness of a task in the last second, in milliseconds.",
-            )?,
-            version: gauge("cowslipford_version", "Version of the view in force.")?,
-            ready: gauge(
-                "cowslipford_ready",
-                "1 if this process is ready, otherwise 0.",
+                "Most by which a task ran late in the last second.",
             )?,
+            version: gauge("cowslipford_version", "Version in force.")?,
+            ready: gauge("cowslipford_ready", "Whether this process is ready.")?,
             local_shards: gauge(
                 "cowslipford_local_shards",
                 "Shards that this router schedules alone.",
             )?,
             grants: counter(
                 "cowslipford_grants_total",
-                "Grants sent by the schedulers of this VM.",
+                "Grants given by schedulers here.",
+            )?,
+            returns: counter(
+                "cowslipford_returns_total",
+                "Grants that routers gave back.",
             )?,
-            returns: counter("cowslipford_returns_total", "Grants that routers returned.")?,
             slots: gauges(
                 "cowslipford_shard",
-                "Slots, routers and requests of the shards that are scheduled here.",
+                "Slots, running and waiting of shards that are scheduled here.",
                 &["service", "region", "what"],
             )?,
             received_service: gauges(
                 "cowslipford_service_received",
-                "Virtual service of customers in the shards that are scheduled here.",
+                "Virtual service of customers in shards that are scheduled here.",
                 &["service", "region", "customer"],
             )?,
             frames: gauges(
                 "cowslipford_frames_sent",
-                "Number and bytes of frames sent, by kind.",
+                "Frames sent and their bytes, by kind.",
                 &["kind", "what"],
             )?,
-            links: gauges("cowslipford_links", "Links and their traffic.", &["what"])?,
-            control: gauges(
-                "cowslipford_control",
-                "State of the replicated log.",
-                &["what"],
-            )?,
+            links: gauges("cowslipford_links", "Traffic on links.", &["what"])?,
+            control: gauges("cowslipford_control", "The replicated log.", &["what"])?,
             registry,
         })
     }
--- a/components/node/src/operators.rs
+++ b/components/node/src/operators.rs
@@ -146,7 +146,7 @@
         (&Method::POST, "/unquarantine") => unquarantine(parts, &query).await,
         (&Method::POST, "/fault/cut") if parts.fault_hook => cut(parts, &query),
         (&Method::POST, "/fault/suspend") if parts.fault_hook => suspend(parts, &query),
-        _ => error(StatusCode::NOT_FOUND, "no such path"),
+        _ => error(StatusCode::NOT_FOUND, "there is nothing here"),
     }
 }
 
@@ -301,7 +301,7 @@
         Some(Reply::Invalid(reason)) => error(StatusCode::UNPROCESSABLE_ENTITY, &reason),
         Some(_) => error(
             StatusCode::INTERNAL_SERVER_ERROR,
-            "the control VMs sent an unexpected answer",
+            "the control VMs answered something else",
         ),
         None => unanswered(),
     }
@@ -349,7 +349,7 @@
             parts.clock.simulate_suspension(ms);
             text(StatusCode::OK, "suspended\n")
         }
-        None => error(StatusCode::BAD_REQUEST, "give ms: a number of milliseconds"),
+        None => error(StatusCode::BAD_REQUEST, "ms: a number of milliseconds"),
     }
 }
 
@@ -375,11 +375,9 @@
     let _permit = permit.map_err(|_| "the process is ending".to_owned())?;
     let reading = Limited::new(incoming, BODY_MAX).collect();
     let read = tokio::time::timeout(BODY_TIMEOUT, reading).await;
-    let read = read.map_err(|_| "timed out while receiving the configuration".to_owned())?;
+    let read = read.map_err(|_| "the configuration took too long to arrive".to_owned())?;
     let bytes = read.map_err(|error| {
-        format!(
-            "could not read the configuration, which may have at most {BODY_MAX} bytes: {error}"
-        )
+        format!("a configuration has at most {BODY_MAX} bytes, or could not be read: {error}")
     })?;
     String::from_utf8(bytes.to_bytes().into()).map_err(|error| error.to_string())
 }
--- a/components/node/src/process.rs
+++ b/components/node/src/process.rs
@@ -177,10 +177,10 @@
             let Some(status) = self.status().await else {
                 return;
             };
-            let busy = status.held > 0 || status.waiting.values().any(|n| *n > 0);
-            let assigned = !status.schedulers.is_empty() && !status.peers.is_empty();
-            let handing_over = assigned && started.elapsed() < HANDOVER_TIMEOUT;
-            if !(busy || handing_over) {
+            let is_busy = status.held > 0 || status.waiting.values().any(|n| *n > 0);
+            let has_schedulers = !status.schedulers.is_empty() && !status.peers.is_empty();
+            let is_handing_over = has_schedulers && started.elapsed() < HANDOVER_TIMEOUT;
+            if !(is_busy || is_handing_over) {
                 return;
             }
         }
@@ -215,8 +215,11 @@
 struct Starter {
     settings: Settings,
     interface: Interface,
+    /// Socket of the links.
     socket: Socket,
+    /// Name of this VM, and the address of its links.
     node: Node,
+    /// Random number that identifies this run of the process.
     incarnation: u64,
     clock: Clock,
     journal: Journal,
@@ -224,6 +227,7 @@
 }
 
 impl Starter {
+    /// Creates the dependencies of a process with these settings.
     fn new(settings: Settings, interface: Interface, socket: Socket) -> Result<Self> {
         let address = socket.address()?;
         let clock = Clock::default();
--- a/components/node/src/quarantine.rs
+++ b/components/node/src/quarantine.rs
@@ -74,10 +74,13 @@
     fleet: Statuses,
     /// Evidence to report, from this process and its children.
     pending: Evidence,
+    /// When the next report is due.
     next_report_at: Millis,
     /// The reply to the last report to the leader.
     report: Option<oneshot::Receiver<Reply>>,
+    /// When to check for expired suspicions next.
     next_expire_at: Millis,
+    /// Publishes the suspicions to the callers' side.
     publish: watch::Sender<Arc<Suspicions>>,
 }
 
@@ -125,7 +128,7 @@
     }
 
     /// Applies the suspicions that the control VMs have put in force.
-    pub(crate) fn follow(&mut self, fleet: &Statuses) {
+    pub(crate) fn apply_fleet(&mut self, fleet: &Statuses) {
         if *fleet == self.fleet {
             return;
         }
--- a/components/node/src/reactor/listing.rs
+++ b/components/node/src/reactor/listing.rs
@@ -23,10 +23,10 @@
             Reader::Router(self.dissemination.routers())
         };
         let seed = self.parts.hub.hello().incarnation;
-        let timeout_ms = self
+        let delay_ms = self
             .registry
             .read_delay_ms(reader, self.parts.listing_interval_ms, seed);
-        timeout_ms.is_some_and(|ms| self.registry.is_due(now, ms))
+        delay_ms.is_some_and(|ms| self.registry.is_due(now, ms))
     }
 
     /// Handles the result of a read of the list by this process.
--- a/components/node/src/reactor/mod.rs
+++ b/components/node/src/reactor/mod.rs
@@ -289,7 +289,7 @@
                         self.perform(now, effects);
                         Ok((handle, decided))
                     }
-                    Err(full) => Err(full),
+                    Err(rejection) => Err(rejection),
                 };
                 // The caller has disconnected and dropped the receiver: no guard holds the
                 // handle, so the request leaves the queue here.
@@ -334,7 +334,7 @@
                     .set_leader_contact(now, &self.parts.hub, has_leader);
                 self.dirty = true;
             }
-            Input::Leadership(leads) => self.is_leader = leads,
+            Input::Leadership(is_leader) => self.is_leader = is_leader,
             Input::Members(members) => {
                 self.members = members;
                 self.update_control_nodes();
@@ -371,8 +371,8 @@
 
     /// Applies an endpoint's announcement that it wants no more requests, and logs it if new.
     fn handle_backoff(&mut self, now: Millis, handle: Handle, backoff: Backoff) {
-        let (is_news, effects) = self.dispatcher.backoff(now, handle, backoff);
-        if is_news {
+        let (is_new_backoff, effects) = self.dispatcher.backoff(now, handle, backoff);
+        if is_new_backoff {
             let endpoint = self.endpoint(backoff.endpoint);
             tracing::info!(
                 event = Line::EndpointBackoff.as_str(),
@@ -466,10 +466,10 @@
             Message::Confirm(confirm) => self.dissemination.handle_confirm(&vm, confirm),
             Message::Evidence(seen) => self.quarantine.relay(seen),
             Message::Reports(epoch, reports) => {
-                let known = self
-                    .schedulers
-                    .reports(now, &vm, epoch, reports, &mut self.batch);
-                if !known {
+                let is_known =
+                    self.schedulers
+                        .handle_reports(now, &vm, epoch, reports, &mut self.batch);
+                if !is_known {
                     self.parts.hub.send(&vm, Message::Unassigned(epoch));
                 }
             }
@@ -567,7 +567,7 @@
             customers = self.view.config.customers.len(),
         );
         self.dissemination.on_new_version(version);
-        self.quarantine.follow(&self.view.suspects);
+        self.quarantine.apply_fleet(&self.view.suspects);
         self.log_evacuations();
         self.update_effective_view(now);
         self.update_control_nodes();
@@ -619,7 +619,7 @@
         self.failbacks.mark_cold(now, wall_micros(), &mut effective);
         self.effective = Arc::new(effective);
         self.schedulers
-            .follow(now, &self.effective, &mut self.batch);
+            .apply_view(now, &self.effective, &mut self.batch);
         let effects = self.dispatcher.follow(now, &self.effective);
         self.perform(now, effects);
         if self.parts.serves_callers {
@@ -692,8 +692,8 @@
         let sender = self.decisions.remove(&handle);
         let found = self.endpoint(endpoint);
         let (Some(found), Some(sender)) = (found, sender) else {
-            let gone = coordination::messages::Verdict::Cancelled;
-            let effects = self.dispatcher.done(now, handle, 0, gone);
+            let cancelled = coordination::messages::Verdict::Cancelled;
+            let effects = self.dispatcher.done(now, handle, 0, cancelled);
             self.perform(now, effects);
             return;
         };
@@ -709,8 +709,8 @@
         };
         if sender.send(Decision::Dispatch(dispatch)).is_err() {
             // The caller disconnected while the grant was in transit: no byte was sent.
-            let gone = coordination::messages::Verdict::Cancelled;
-            let effects = self.dispatcher.done(now, handle, 0, gone);
+            let cancelled = coordination::messages::Verdict::Cancelled;
+            let effects = self.dispatcher.done(now, handle, 0, cancelled);
             self.perform(now, effects);
         }
     }
--- a/components/node/src/reactor/peers.rs
+++ b/components/node/src/reactor/peers.rs
@@ -61,7 +61,7 @@
     /// Decides whether this VM offers itself to the leader as a host for schedulers.
     pub(super) fn update_candidacy(&mut self, now: Millis) {
         let is_lost = |(_, is_up): (_, bool)| !is_up;
-        let known = Status {
+        let status = Status {
             is_assigned: self.view.assignments.iter().any(|a| a.node.vm == self.me),
             is_unscheduled: self.is_unassigned || self.dispatcher.shards().any(is_lost),
             routers: self.dissemination.routers(),
@@ -69,9 +69,9 @@
         };
         // Until the routers are counted only VMs that already run a scheduler are candidates.
         // Otherwise every VM would be one.
-        let may_be_candidate = known.is_assigned || known.routers.is_some();
+        let may_be_candidate = status.is_assigned || status.routers.is_some();
         let is_candidate =
-            self.parts.may_schedule && may_be_candidate && self.candidacy.is_candidate(now, known);
+            self.parts.may_schedule && may_be_candidate && self.candidacy.is_candidate(now, status);
         if is_candidate && !self.is_candidate {
             self.dial_control();
         }
@@ -132,17 +132,17 @@
         if !self.effective.is_partial() {
             return;
         }
-        for question in self.cell_poller.due_queries(now) {
-            let Some(vm) = self.control_vm(question.attempt) else {
+        for query in self.cell_poller.due_queries(now) {
+            let Some(vm) = self.control_vm(query.attempt) else {
                 continue;
             };
-            let wanted = Message::CellRequest(question.shard, question.known_id);
-            self.parts.hub.send(&vm, wanted);
+            let request = Message::CellRequest(query.shard, query.known_id);
+            self.parts.hub.send(&vm, request);
         }
     }
 
     /// Picks a control VM with a link by round robin, starting in this VM's data centre.
-    fn control_vm(&self, turn: usize) -> Option<Name> {
+    fn control_vm(&self, attempt: usize) -> Option<Name> {
         let peers = self.parts.hub.peers();
         let data_centre = |vm: &Name| {
             let peer = peers.iter().find(|p| p.place.vm == *vm);
@@ -153,7 +153,7 @@
         let mut linked: Vec<&Name> = linked.filter(|vm| self.parts.hub.is_up(vm)).collect();
         let own = Some(&self.parts.home.data_centre);
         linked.sort_by_key(|vm| (data_centre(vm) != own, *vm));
-        let index = turn.checked_rem(linked.len())?;
+        let index = attempt.checked_rem(linked.len())?;
         Some(linked[index].clone())
     }
 
@@ -266,7 +266,8 @@
     }
 
     /// Whether this process has to ask the leader itself: because it is a root of the tree, or
-    /// because its parent has sent no proof in time.
+    /// because its parent has answered a proof request with a proof that is too old, or has not
+    /// answered in time.
     fn should_ask_leader(&mut self, now: Millis) -> bool {
         if self.dissemination.is_root() || self.pending_head.is_some() {
             return true;
@@ -277,7 +278,7 @@
             self.parent_since = None;
             return false;
         }
-        self.dissemination.is_checked() || now.since(*since) >= PARENT_PROOF_TIMEOUT_MS
+        self.dissemination.has_proof_answer() || now.since(*since) >= PARENT_PROOF_TIMEOUT_MS
     }
 
     /// Sends other schedulers of the region what the engines of the schedulers here have cached.
--- a/components/node/src/releases.rs
+++ b/components/node/src/releases.rs
@@ -76,7 +76,7 @@
         return evacuate(&parts, &data_centre, request).await;
     }
     if request.uri().path() != parts.interface.release_path {
-        return error(StatusCode::NOT_FOUND, "no such path");
+        return error(StatusCode::NOT_FOUND, "there is nothing here");
     }
     match *request.method() {
         Method::GET => read(&parts).await,
@@ -101,10 +101,10 @@
         Ok(Ok(Some(_))) => {}
         Ok(Ok(None)) => {
             discard(body).await;
-            return error(StatusCode::BAD_REQUEST, "an evacuation takes no body");
+            return error(StatusCode::BAD_REQUEST, "an evacuation has no body");
         }
         Ok(Err(failure)) => return error(StatusCode::BAD_REQUEST, &failure.to_string()),
-        Err(_) => return error(StatusCode::REQUEST_TIMEOUT, "receiving the body timed out"),
+        Err(_) => return error(StatusCode::REQUEST_TIMEOUT, "the body took too long"),
     }
     match parts.orders.send(data_centre, is_evacuated).await {
         Outcome::Accepted(version) => {
@@ -115,7 +115,7 @@
         }
         Outcome::Unknown(reason) => error(StatusCode::NOT_FOUND, &reason),
         Outcome::Unconfirmed => {
-            retry("the control VMs did not confirm it in time; it may still come into force")
+            retry("the control VMs did not accept it in time; it may yet be in force")
         }
     }
 }
@@ -129,7 +129,7 @@
     };
     let Some(_space) = reserve(parts, length).await else {
         discard(body).await;
-        return retry("too many configurations are being sent at once");
+        return retry("too many configurations come at once");
     };
     let document = match tokio::time::timeout(BODY_TIMEOUT, receive(&mut body, length)).await {
         Ok(Ok(Some(document))) => document,
@@ -138,7 +138,7 @@
             return too_large();
         }
         Ok(Err(failure)) => return error(StatusCode::BAD_REQUEST, &failure.to_string()),
-        Err(_) => return error(StatusCode::REQUEST_TIMEOUT, "receiving the body timed out"),
+        Err(_) => return error(StatusCode::REQUEST_TIMEOUT, "the body took too long"),
     };
     let release = match (parts.interface.parse_release)(document) {
         Ok(release) => release,
@@ -163,7 +163,7 @@
         Some(Reply::Invalid(reason)) => error(StatusCode::BAD_REQUEST, &reason),
         _ => {
             tracing::warn!(event = Line::ReleaseUnanswered.as_str(), number);
-            retry("the control VMs did not confirm it in time; it may still come into force")
+            retry("the control VMs did not accept it in time; it may yet be in force")
         }
     }
 }
@@ -241,8 +241,8 @@
             json(&mut response);
             response
         }
-        Ok(Some(None)) => retry("no configuration has been accepted yet"),
-        Ok(None) | Err(_) => retry("this VM cannot determine which configuration is the newest"),
+        Ok(Some(None)) => retry("no configuration was accepted yet"),
+        Ok(None) | Err(_) => retry("this VM cannot tell which configuration is the newest"),
     }
 }
 
@@ -263,8 +263,8 @@
 
 /// Response to a configuration that is too large.
 fn too_large() -> Response<Full<Bytes>> {
-    let max = codec::MAX_RECORD_BYTES;
-    let reason = format!("a configuration may have at most {max} bytes");
+    let most = codec::MAX_RECORD_BYTES;
+    let reason = format!("a configuration has at most {most} bytes");
     error(StatusCode::PAYLOAD_TOO_LARGE, &reason)
 }
 
--- a/components/node/src/schedulers.rs
+++ b/components/node/src/schedulers.rs
@@ -20,6 +20,7 @@
 
 /// A scheduler with the sessions of its routers.
 struct Assigned {
+    /// Service and region, and the data centre if the shard has one.
     shard: Shard,
     scheduler: Scheduler,
     /// The session of each router.
@@ -67,7 +68,7 @@
     }
 
     /// Starts and ends schedulers as the view assigns them.
-    pub(crate) fn follow(&mut self, now: Millis, view: &View, batch: &mut Batch) {
+    pub(crate) fn apply_view(&mut self, now: Millis, view: &View, batch: &mut Batch) {
         let current = assignment::shards(view);
         let is_mine = |a: &&Assignment| a.node.vm == self.me && current.contains(&a.shard);
         let assignments = || view.assignments.iter().filter(is_mine);
@@ -136,7 +137,7 @@
     }
 
     /// Handles a router's reports. Returns false if this VM runs no scheduler of that epoch.
-    pub(crate) fn reports<R>(
+    pub(crate) fn handle_reports<R>(
         &mut self,
         now: Millis,
         vm: &Name,
