--- a/components/node/src/reactor/mod.rs
+++ b/components/node/src/reactor/mod.rs
@@ -5,7 +5,7 @@
 mod dependency;
 mod listing;
 mod peers;
-mod show;
+mod status;
 
 use self::dependency::Logged;
 use crate::batch::Batch;
--- a/components/node/src/schedulers.rs
+++ b/components/node/src/schedulers.rs
@@ -169,7 +169,7 @@
     /// Closes the sessions of a router whose link was lost.
     pub(crate) fn link_down(&mut self, now: Millis, vm: &Name) {
         for assigned in self.all.values_mut() {
-            // The entry remains: the router's next hello names it and settles its requests.
+            // The entry remains, so that the router's next hello settles this session's requests.
             if let Some(session) = assigned.sessions.get(vm) {
                 assigned.scheduler.close_session(now, *session);
             }
