--- a/components/node/src/interface.rs
+++ b/components/node/src/interface.rs
@@ -102,7 +102,7 @@
 /// How to read the contents of an engine's prompt cache.
 #[derive(Clone, Copy, Debug)]
 pub struct Inventory {
-    /// Path of the page that lists them.
+    /// Path of the page that lists the contents.
     pub path: &'static str,
     /// Parses the page; the error says what is wrong with it.
     pub parse: fn(&[u8]) -> Result<Contents, String>,
@@ -169,15 +169,15 @@
 }
 
 /// Rewrites a caller's headers for an endpoint with the native interface.
-fn native_headers(headers: &mut HeaderMap, onward: &Outbound<'_>) {
+fn native_headers(headers: &mut HeaderMap, outbound: &Outbound<'_>) {
     headers.remove(AUTHORIZATION);
     headers.remove(COPY_FROM);
-    if let Some(address) = onward.copy_from {
+    if let Some(address) = outbound.copy_from {
         if let Ok(address) = HeaderValue::from_str(&address.to_string()) {
             headers.insert(COPY_FROM, address);
         }
     }
-    if let Ok(identity) = HeaderValue::from_str(onward.identity) {
+    if let Ok(identity) = HeaderValue::from_str(outbound.identity) {
         headers.insert(REQUEST_ID, identity);
     }
 }
--- a/components/node/src/journal.rs
+++ b/components/node/src/journal.rs
@@ -75,6 +75,7 @@
         }
     }
 
+    /// Locks the buffer.
     fn ring(&self) -> MutexGuard<'_, Ring> {
         self.ring.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/components/node/src/listing.rs
+++ b/components/node/src/listing.rs
@@ -112,7 +112,9 @@
 #[derive(Default)]
 struct Part {
     endpoints: Vec<Entry>,
+    /// Number of entries that could not be parsed.
     unreadable: usize,
+    /// Number of pages that were read.
     pages: usize,
 }
 
--- a/components/node/src/operators.rs
+++ b/components/node/src/operators.rs
@@ -40,12 +40,19 @@
 pub(crate) struct Parts {
     /// Hash of the operators' key. Without one, only the paths that need no key are served.
     pub(crate) key: Option<Hash>,
+    /// Links to other processes.
     pub(crate) hub: Hub,
+    /// Clock of this process.
     pub(crate) clock: Clock,
+    /// Recorder of time-line events.
     pub(crate) journal: Journal,
+    /// Metrics of this process.
     pub(crate) metrics: Metrics,
+    /// Channel to the reactor.
     pub(crate) reactor: flume::Sender<Input>,
+    /// Channel to the control role, if this process runs it.
     pub(crate) control: Option<flume::Sender<control::Input>>,
+    /// State published by the reactor.
     pub(crate) published: watch::Receiver<Published>,
     /// Whether paths that inject faults are served.
     pub(crate) fault_hook: bool,
--- a/components/node/src/process.rs
+++ b/components/node/src/process.rs
@@ -39,7 +39,7 @@
 /// Time for which a stopping router still accepts connections.
 ///
 /// Load balancers query its readiness once a second, and stop sending callers after two failed
-/// checks. If the router closed earlier, callers would be refused that another one could serve.
+/// checks. If the router closed earlier, it would refuse callers that could still be served.
 const LINGER: Duration = Duration::from_millis(2300);
 /// Part of the grace period that is reserved for closing connections and links.
 const CLOSE_TIME: Duration = Duration::from_millis(700);
@@ -67,7 +67,9 @@
     grace: Duration,
     /// Whether a load balancer queries readiness before it sends callers here.
     has_readiness: bool,
+    /// Links to other processes.
     hub: Hub,
+    /// Channel to the reactor.
     reactor: flume::Sender<Input>,
     reactor_task: JoinHandle<()>,
     /// Channel to the control role, and its thread.
@@ -76,6 +78,7 @@
     tasks: Vec<JoinHandle<()>>,
     /// Set to true to end the tasks.
     stop: watch::Sender<bool>,
+    /// State published by the reactor.
     published: watch::Receiver<Published>,
     /// Why the control role failed, once it has.
     failed: watch::Receiver<Option<String>>,
@@ -89,7 +92,7 @@
     /// If an address is in use, a key does not match its certificate, or the state on disk is
     /// damaged.
     pub async fn start(settings: Settings, interface: Interface) -> Result<Self> {
-        let keys = match &settings.link.keys {
+        let credentials = match &settings.link.keys {
             Some(files) => Credentials::read(&files.authority, &files.certificate, &files.key)?,
             None => Credentials::unauthenticated(&settings.vm.name)?,
         };
@@ -97,7 +100,7 @@
             idle_timeout: Duration::from_millis(settings.link.idle_ms),
             keep_alive_interval: Duration::from_millis(settings.link.keep_alive_ms),
         };
-        let socket = Socket::bind(settings.link.listen, &keys, timing)?;
+        let socket = Socket::bind(settings.link.listen, &credentials, timing)?;
         Starter::new(settings, interface, socket)?.start().await
     }
 
--- a/components/node/src/reactor/dependency.rs
+++ b/components/node/src/reactor/dependency.rs
@@ -56,6 +56,7 @@
         self.logged.schedulers = schedulers;
     }
 
+    /// Logs a change of the parent.
     fn log_parent(&mut self, now: Millis) {
         let parent = self.dissemination.parent().cloned();
         if parent == self.logged.parent {
--- a/components/node/src/reactor/mod.rs
+++ b/components/node/src/reactor/mod.rs
@@ -272,6 +272,7 @@
         }
     }
 
+    /// Current time of this process's clock.
     fn now(&self) -> Millis {
         self.parts.clock.now()
     }
--- a/components/node/src/releases.rs
+++ b/components/node/src/releases.rs
@@ -21,8 +21,9 @@
 /// Largest number of bytes of configurations that are accepted at once, over all connections.
 ///
 /// Each body is buffered completely and copied several times while it is parsed and proposed.
-/// Without this limit, concurrent bodies can exhaust the memory of the VM, and the kernel kills
-/// the process, which is a voter: 70 bodies of 2.4 MB took 165 MB.
+/// Concurrent bodies could otherwise exhaust the memory of the VM, so that the kernel would kill
+/// the process, which is a voter: a control VM would restart whenever operators are busy. Without
+/// the limit, 70 bodies of 2.4 MB took 165 MB.
 const BODIES_BYTES_MAX: usize = 8 * 1024 * 1024;
 /// Longest time that a configuration waits for buffer space, after which the operator is told to
 /// retry.
@@ -42,8 +43,11 @@
 
 /// Dependencies of the server.
 pub(crate) struct Parts {
+    /// Paths and format of complete configurations.
     pub(crate) interface: Interface,
+    /// Channel to the reactor.
     pub(crate) reactor: flume::Sender<Input>,
+    /// Channel to the control role.
     pub(crate) control: flume::Sender<control::Input>,
     /// Sender of evacuation orders.
     orders: Orders,
