--- a/components/coordination/src/scheduler/mod.rs
+++ b/components/coordination/src/scheduler/mod.rs
@@ -11,7 +11,7 @@
 mod settled;
 mod share;
 
-pub use self::share::Usage;
+pub use self::share::Allocation;
 
 use self::kept::Telling;
 use self::next::Next;
--- a/components/coordination/src/scheduler/share.rs
+++ b/components/coordination/src/scheduler/share.rs
@@ -10,7 +10,7 @@
 
 /// What a scheduler gave one customer since it was last told, and how it stands now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Usage {
+pub struct Allocation {
     /// Whose it is.
     pub customer: CustomerId,
     /// Asks that wait.
@@ -52,11 +52,11 @@
 
 impl Scheduler {
     /// What those customers got since the last call that were granted and refused most.
-    pub fn take_usage(&mut self) -> Vec<Usage> {
+    pub fn take_allocations(&mut self) -> Vec<Allocation> {
         let given = std::mem::take(&mut self.shares.given);
         let waiting = self.ledger.backlogged();
         let least = waiting.map(|c| self.ledger.level(c)).min().unwrap_or(0);
-        let share = |(customer, given): (CustomerId, Given)| Usage {
+        let share = |(customer, given): (CustomerId, Given)| Allocation {
             customer,
             waiting: self.queue.of(customer).count(),
             ahead: self.ledger.level(customer).saturating_sub(least),
@@ -64,7 +64,7 @@
             cost: given.cost,
             refused: given.refused,
         };
-        let mut shares: Vec<Usage> = given.into_iter().map(share).collect();
+        let mut shares: Vec<Allocation> = given.into_iter().map(share).collect();
         shares.sort_by_key(|s| Reverse(s.granted + s.refused));
         shares.truncate(TOLD);
         shares
--- a/components/node/src/schedulers.rs
+++ b/components/node/src/schedulers.rs
@@ -318,7 +318,7 @@
     /// Logs what each scheduler has given to whom, while work waits there.
     fn tell_shares(&mut self, view: &View) {
         for (epoch, assigned) in &mut self.all {
-            let shares = assigned.scheduler.take_usage();
+            let shares = assigned.scheduler.take_allocations();
             if assigned.scheduler.waiting() == 0 {
                 continue;
             }
