--- a/components/coordination/src/engine/mod.rs
+++ b/components/coordination/src/engine/mod.rs
@@ -1,59 +1,56 @@
-//! A picture of one model engine: what it has kept, what it has yet to read.
+//! Model of one inference engine: its cached prompt parts and its prefill backlog.
 //!
-//! Engines admit requests in the order of their arrival and read prompts at a
-//! bounded rate. The time to a request's first event is thus what they have yet
-//! to read, what of its prompt they have not kept, and some steps after that. All of
-//! it follows from the grants and the first events that we see; reports lag and are
-//! not needed.
+//! Engines admit requests in the order of their arrival and prefill prompts at a bounded
+//! rate. The time to a request's first event is thus the prefill backlog, the prefill of the
+//! uncached part of its prompt, and some decoding steps. All of it follows from the grants
+//! and the first events that the scheduler sees, so that the engines' own load reports, which
+//! lag, are not needed.
 
-mod clock;
+mod backlog;
 
-pub use self::clock::{Expected, Phase, Speed};
+pub use self::backlog::{Expected, Phase, Speed};
 
-use self::clock::Clock;
+use self::backlog::Backlog;
 use crate::ask::Basis;
 use crate::prelude::*;
 use crate::prompt::{mix, Part, Prompt};
 use std::collections::{BTreeSet, HashMap};
 use std::hash::{BuildHasherDefault, Hasher};
 
-/// Part of the memory that running requests may take, in hundredths.
+/// Share of the KV cache memory that running requests may use, in percent.
 ///
-/// A request that does not fit preempts the newest one, which is then read again
-/// from its start. Output lengths are estimates, so some room is left for those
-/// that run longer.
-const FULL_PERCENT: u64 = 85;
-/// Prefill that an engine is given ahead, in hundredths of the time within which
-/// the next request is to be answered.
+/// A request that does not fit preempts the newest one, which is then prefilled again from
+/// its start. Output lengths are estimates, so some memory is left for longer outputs.
+const MEMORY_USE_PERCENT: u64 = 85;
+/// Prefill backlog that an engine may have when it is sent another request, in percent of
+/// the latency target of that request.
 ///
-/// Engines know no priorities: what was sent is read in that order. Less ahead
-/// would let an engine stand idle for the way of a grant (about 5 ms); more
-/// would make those wait whose turn comes next. Of all worth under three loads of mixed
-/// faults 0.692 and 0.581 (two fleets of 9 engines) was earned with 25, 0.717 and 0.583
-/// with 10, 0.704 and 0.589 with 5.
-const AHEAD_PERCENT: u64 = 10;
-/// Bounds of that reading, in milliseconds: the way of a grant and a step of the
-/// engine, and what is still short where there is no aim.
-const AHEAD_MIN_MS: u64 = 30;
-const AHEAD_MAX_MS: u64 = 240;
-/// Time before an engine gets the first of what it copies from another one, in
-/// microseconds: a connection between data centres and the other's next step.
-const COPY_US: u64 = 15_000;
-/// Fewest tokens that are worth copying: fewer are read in about [`COPY_US`].
-const COPY_MIN: u64 = 1_000;
-
-/// Prefill that an engine is given ahead of a request that is on time within `aim_ms`,
+/// Engines prefill in the order of arrival, without priorities. A smaller backlog lets an
+/// engine stand idle while a grant is under way (about 5 ms); a larger one delays urgent
+/// requests that arrive later.
+const BACKLOG_PERCENT: u64 = 10;
+/// Bounds of that backlog, in milliseconds: the time for a grant and one step of the engine,
+/// and a short wait for requests without a latency target.
+const BACKLOG_MIN_MS: u64 = 30;
+const BACKLOG_MAX_MS: u64 = 240;
+/// Time from the start of a copy between engines to its first data, in microseconds: the
+/// latency between data centres and the next step of the source.
+const COPY_START_US: u64 = 15_000;
+/// Fewest tokens that are copied: fewer are prefilled in about [`COPY_START_US`].
+const COPY_MIN_TOKENS: u64 = 1_000;
+
+/// Prefill backlog up to which an engine is sent a request with the latency target `aim_ms`,
 /// in milliseconds.
-pub fn ahead_ms(aim_ms: u64) -> u64 {
-    (aim_ms * AHEAD_PERCENT / 100).clamp(AHEAD_MIN_MS, AHEAD_MAX_MS)
+pub fn backlog_max_ms(aim_ms: u64) -> u64 {
+    (aim_ms * BACKLOG_PERCENT / 100).clamp(BACKLOG_MIN_MS, BACKLOG_MAX_MS)
 }
 
-/// Takes a key as its own hash: keys of parts are mixed already, and looking them up is
-/// much of the cost of a grant.
+/// Hasher that uses the key of a part as its own hash: keys are hashes already, and their
+/// lookup is a large share of the cost of a grant.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Mixed(u64);
+pub(crate) struct KeyHasher(u64);
 
-impl Hasher for Mixed {
+impl Hasher for KeyHasher {
     fn finish(&self) -> u64 {
         self.0
     }
@@ -65,67 +62,68 @@
     }
 
     fn write_u32(&mut self, key: u32) {
-        // The map's tables look at the highest bits as well as at the lowest.
+        // The hash map uses the highest bits as well as the lowest.
         self.0 = u64::from(key) << 32 | u64::from(key);
     }
 }
 
-/// A part of prompts in an engine's memory.
+/// A prompt part in the KV cache of an engine.
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct Entry {
     tokens: u32,
-    /// Running requests that use it; it does not yield while there are any.
+    /// Running requests that use the part; it is not evicted while there are any.
     users: u32,
-    used: Millis,
-    /// Whether the engine has read it, so that others can copy it.
-    is_read: bool,
+    last_used: Millis,
+    /// Whether the engine has prefilled the part, so that other engines can copy it.
+    is_prefilled: bool,
 }
 
-/// A part that an engine has come to keep or keeps no more, by its key.
+/// A change of the parts that an engine has cached, by the key of the part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It keeps the part.
-    Kept(u32),
-    /// It keeps the part no more.
-    Lost(u32),
+    /// The part was cached.
+    Cached(u32),
+    /// The part was evicted.
+    Evicted(u32),
 }
 
-/// Changes that one event makes in what an engine keeps, in their order.
+/// Changes of an engine's cache by one event, in their order.
 pub type Changes = SmallVec<[Change; 8]>;
 
-/// What a request takes of an engine from its grant to its end.
+/// The work of one request on an engine, from its grant to its end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Prefill {
     prompt: Prompt,
-    /// Tokens that were not kept at the grant.
-    missing: u64,
-    /// Tokens of these that are copied from another engine.
+    /// Tokens that were not cached at the time of the grant.
+    uncached: u64,
+    /// Uncached tokens that are copied from another engine.
     copied: u64,
-    /// That engine.
+    /// Engine from which they are copied.
     source: Option<EndpointId>,
     expected: Expected,
-    has_begun: bool,
+    /// Whether the first event has occurred.
+    has_first_event: bool,
 }
 
 impl Prefill {
-    /// Engine from which a part of the prompt is to be copied.
+    /// Engine from which a part of the prompt is copied.
     pub fn source(&self) -> Option<EndpointId> {
         self.source
     }
 
-    /// Parts of the prompt that other requests may share.
+    /// Parts of the prompt that other requests may share: all but the last one.
     pub fn shared_parts(&self) -> impl Iterator<Item = Part> {
         let count = self.prompt.parts().count().saturating_sub(1);
         let parts: SmallVec<[Part; 4]> = self.prompt.parts().take(count).collect();
         parts.into_iter()
     }
 
-    /// Tokens that the engine has to read.
+    /// Tokens that the engine has to prefill.
     pub fn prefill_tokens(&self) -> u64 {
-        self.missing - self.copied
+        self.uncached - self.copied
     }
 
-    /// What to tell of it in logs.
+    /// Forecast for the request, for logs.
     pub fn basis(&self) -> Basis {
         let tokens = |n: u64| u32::try_from(n).unwrap_or(u32::MAX);
         Basis {
@@ -136,179 +134,179 @@
     }
 }
 
-/// An engine that has more of a prompt than others, to copy it from.
+/// An engine from which another one can copy the start of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Source {
     /// The engine.
     pub endpoint: EndpointId,
-    /// Tokens of the prompt that it has read.
+    /// Tokens of the prompt that it has prefilled.
     pub tokens: u64,
-    /// Tokens that are copied in a second.
+    /// Tokens copied in a second.
     pub tokens_per_s: u64,
 }
 
 impl Source {
-    /// Tokens that an engine gains by it that misses some of a prompt.
-    pub fn gain(&self, prompt: &Prompt, missing: u64) -> u64 {
-        let gain = (self.tokens + missing).saturating_sub(prompt.tokens());
-        if gain < COPY_MIN {
+    /// Tokens that an engine with `uncached` tokens of the prompt copies from this one; 0 if
+    /// there are too few to be worth it.
+    pub fn gain(&self, prompt: &Prompt, uncached: u64) -> u64 {
+        let gain = (self.tokens + uncached).saturating_sub(prompt.tokens());
+        if gain < COPY_MIN_TOKENS {
             0
         } else {
             gain
         }
     }
 
-    /// Time to copy some tokens, in microseconds.
+    /// Time to copy `tokens`, in microseconds.
     pub fn copying_us(&self, tokens: u64) -> u64 {
         match tokens {
             0 => 0,
-            _ => COPY_US + tokens * 1_000_000 / self.tokens_per_s.max(1),
+            _ => COPY_START_US + tokens * 1_000_000 / self.tokens_per_s.max(1),
         }
     }
 }
 
-/// The picture of one engine.
+/// Model of one engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    memory: u64,
-    kept: HashMap<u32, Kept, BuildHasherDefault<Mixed>>,
-    kept_tokens: u64,
-    /// Tokens of these that running requests use.
+    memory_tokens: u64,
+    /// Cached parts by key.
+    cache: HashMap<u32, Entry, BuildHasherDefault<KeyHasher>>,
+    cached_tokens: u64,
+    /// Cached tokens that running requests use.
     used_tokens: u64,
     /// Parts without a user, the one used least recently first.
     ///
-    /// Found by a search through all that is kept, the part to forget would cost
-    /// more than all else that a grant does on an engine with full memory.
-    // INVARIANT: holds (used, key) of exactly the kept parts with no users.
-    idle: BTreeSet<(Millis, u32)>,
+    /// Without this order, the search for the part to evict would cost more than the rest of
+    /// a grant on an engine with full memory.
+    // INVARIANT: holds (last_used, key) of exactly the cached parts with no users.
+    unused: BTreeSet<(Millis, u32)>,
     /// Tokens that running requests are expected to generate.
-    output: u64,
-    /// When what was sent will have been read.
-    clock: Clock,
+    output_tokens: u64,
+    backlog: Backlog,
 }
 
 impl Engine {
-    /// An engine of which nothing is known but its memory in tokens.
-    pub fn new(memory: u64) -> Self {
+    /// An engine with an empty cache of `memory_tokens`.
+    pub fn new(memory_tokens: u64) -> Self {
         Engine {
-            memory,
-            kept: HashMap::default(),
-            kept_tokens: 0,
+            memory_tokens,
+            cache: HashMap::default(),
+            cached_tokens: 0,
             used_tokens: 0,
-            idle: BTreeSet::new(),
-            output: 0,
-            clock: Clock::default(),
+            unused: BTreeSet::new(),
+            output_tokens: 0,
+            backlog: Backlog::default(),
         }
     }
 
-    /// Changes the size of its memory.
-    pub fn set_memory_tokens(&mut self, memory: u64) {
-        self.memory = memory;
+    /// Changes the size of the cache.
+    pub fn set_memory_tokens(&mut self, memory_tokens: u64) {
+        self.memory_tokens = memory_tokens;
     }
 
-    /// Tokens of a prompt that it would have to read.
+    /// Tokens of a prompt that are not cached.
     pub fn uncached_tokens(&self, prompt: &Prompt) -> u64 {
-        let kept: u64 = (prompt.parts())
-            .take_while(|p| self.kept.contains_key(&p.key))
+        let cached: u64 = (prompt.parts())
+            .take_while(|p| self.cache.contains_key(&p.key))
             .map(|p| u64::from(p.tokens))
             .sum();
-        prompt.tokens() - kept
+        prompt.tokens() - cached
     }
 
-    /// Tokens of a prompt, from its start, that others can copy from it.
+    /// Tokens of a prompt, from its start, that other engines can copy from this one.
     pub fn copyable_tokens(&self, prompt: &Prompt) -> u64 {
         (prompt.parts())
-            .take_while(|p| self.kept.get(&p.key).is_some_and(|k| k.is_read))
+            .take_while(|p| self.cache.get(&p.key).is_some_and(|e| e.is_prefilled))
             .map(|p| u64::from(p.tokens))
             .sum()
     }
 
-    /// Whether others can copy a part from it.
-    pub fn has_read_part(&self, key: u32) -> bool {
-        self.kept.get(&key).is_some_and(|k| k.is_read)
+    /// Whether other engines can copy a part from this one.
+    pub fn has_prefilled(&self, key: u32) -> bool {
+        self.cache.get(&key).is_some_and(|e| e.is_prefilled)
     }
 
-    /// Whether nothing is known of what it has kept.
-    pub fn is_unknown(&self) -> bool {
-        self.kept.is_empty()
+    /// Whether no cached part is known.
+    pub fn has_empty_cache(&self) -> bool {
+        self.cache.is_empty()
     }
 
-    /// Whether it has room for a request that is on time within `aim_ms`, in its
-    /// memory and in what it is to read.
+    /// Whether a request with the latency target `aim_ms` can be sent now: its prompt and
+    /// output fit into memory, and the prefill backlog is short enough.
     pub fn has_room(&self, now: Millis, prompt: &Prompt, aim_ms: u64) -> bool {
-        if self.clock.ahead_us(now) > ahead_ms(aim_ms) * 1000 {
+        if self.backlog.backlog_us(now) > backlog_max_ms(aim_ms) * 1000 {
             return false;
         }
         let used = self.used_tokens;
-        let idle = used + self.output == 0;
-        // What it has kept without a user yields; what this one shares with
-        // running requests is counted once.
-        let own: u64 = (prompt.parts())
-            .filter(|p| self.kept.get(&p.key).is_none_or(|k| k.users == 0))
+        let is_unused = used + self.output_tokens == 0;
+        // Unused parts can be evicted; parts shared with running requests count once.
+        let added: u64 = (prompt.parts())
+            .filter(|p| self.cache.get(&p.key).is_none_or(|e| e.users == 0))
             .map(|p| u64::from(p.tokens))
             .sum();
-        let wanted = used + self.output + own + u64::from(prompt.output);
-        idle || wanted <= self.memory * FULL_PERCENT / 100
+        let wanted = used + self.output_tokens + added + u64::from(prompt.output);
+        is_unused || wanted <= self.memory_tokens * MEMORY_USE_PERCENT / 100
     }
 
-    /// Expected time to the first event of a request, in microseconds, with
-    /// `missing` tokens to read and `claimed` tokens of others that go before it.
-    /// `id` spreads new parts over engines.
+    /// Expected time to the first event of a request, in microseconds, with `uncached` tokens
+    /// to prefill behind `reserved` tokens of other requests that wait for this engine.
+    /// `id` spreads uncached prompts over engines.
     pub fn expected_us(
         &self,
         now: Millis,
         id: EndpointId,
         prompt: &Prompt,
-        missing: u64,
-        claimed: u64,
+        uncached: u64,
+        reserved: u64,
     ) -> u64 {
-        let stray = if missing == prompt.tokens() {
-            // Every scheduler, and every router that has lost it, would choose
-            // the same engine for a part that none is known to have.
-            missing * (mix(u64::from(prompt.first_key()) << 32 | u64::from(id.0)) % 1024) / 4096
+        let jitter = if uncached == prompt.tokens() {
+            // Without it, every scheduler, and every router that has lost its scheduler, would
+            // choose the same engine for a part that no engine is known to have cached.
+            uncached * (mix(u64::from(prompt.first_key()) << 32 | u64::from(id.0)) % 1024) / 4096
         } else {
             0
         };
-        let reading = self.clock.reading_us(claimed + missing + stray);
-        self.clock.ahead_us(now) + reading + self.clock.tail_us()
+        let prefill = self.backlog.prefill_us(reserved + uncached + jitter);
+        self.backlog.backlog_us(now) + prefill + self.backlog.post_prefill_us()
     }
 
-    /// Tokens of prompts without a first event.
+    /// Tokens that requests without a first event have to prefill.
     pub fn pending_tokens(&self) -> u64 {
-        self.clock.unread()
+        self.backlog.pending_tokens()
     }
 
-    /// Tokens that it reads in a second.
-    pub fn rate(&self) -> u64 {
-        self.clock.rate()
+    /// Tokens that the engine prefills in a second.
+    pub fn tokens_per_s(&self) -> u64 {
+        self.backlog.tokens_per_s()
     }
 
-    /// Time to read some tokens, in microseconds.
+    /// Time to prefill `tokens`, in microseconds.
     pub fn prefill_us(&self, tokens: u64) -> u64 {
-        self.clock.reading_us(tokens)
+        self.backlog.prefill_us(tokens)
     }
 
-    /// Whether it could begin to read, and when that changes without an event.
+    /// Phase of the prefill, and when it next changes by the passage of time alone.
     pub fn phase(&self, now: Millis) -> (Phase, Option<Millis>) {
-        self.clock.phase(now)
+        self.backlog.phase(now)
     }
 
-    /// How fast it reads.
+    /// Prefill speed.
     pub fn speed(&self) -> Speed {
-        self.clock.speed()
+        self.backlog.speed()
     }
 
-    /// Time from the end of a prompt's reading to its first event, in microseconds.
-    pub fn tail_us(&self) -> u64 {
-        self.clock.tail_us()
+    /// Time from the end of a prefill to the first event, in microseconds.
+    pub fn post_prefill_us(&self) -> u64 {
+        self.backlog.post_prefill_us()
     }
 
-    /// Keys of the parts that it keeps.
+    /// Keys of the cached parts.
     pub fn keys(&self) -> impl Iterator<Item = u32> + '_ {
-        self.kept.keys().copied()
+        self.cache.keys().copied()
     }
 
-    /// Takes a request that is sent now, and may copy from another engine.
+    /// Adds a request that is sent now, which copies what it can from `source`.
     pub fn begin(
         &mut self,
         now: Millis,
@@ -316,135 +314,136 @@
         source: Option<Source>,
         changes: &mut Changes,
     ) -> Prefill {
-        let missing = self.uncached_tokens(&prompt);
-        let copied = source.map_or(0, |s| s.gain(&prompt, missing));
+        let uncached = self.uncached_tokens(&prompt);
+        let copied = source.map_or(0, |s| s.gain(&prompt, uncached));
         let copying_us = source.map_or(0, |s| s.copying_us(copied));
-        let reading = Prefill {
+        let prefill = Prefill {
             prompt,
-            missing,
+            uncached,
             copied,
             source: source.map(|s| s.endpoint).filter(|_| copied > 0),
-            expected: self.clock.begin(now, missing - copied, copying_us),
-            has_begun: false,
+            expected: self.backlog.add(now, uncached - copied, copying_us),
+            has_first_event: false,
         };
-        self.output += u64::from(prompt.output);
+        self.output_tokens += u64::from(prompt.output);
         for part in prompt.parts() {
-            self.hold(now, part, changes);
+            self.add_user(now, part, changes);
         }
         self.evict(changes);
-        reading
+        prefill
     }
 
-    /// Keeps a part for one more running request.
-    fn hold(&mut self, now: Millis, part: Part, changes: &mut Changes) {
-        let kept = self.kept.entry(part.key).or_insert_with(|| {
-            self.kept_tokens += u64::from(part.tokens);
-            changes.push(Change::Kept(part.key));
-            Kept {
+    /// Adds a running request to the users of a part, which is cached if it was not.
+    fn add_user(&mut self, now: Millis, part: Part, changes: &mut Changes) {
+        let entry = self.cache.entry(part.key).or_insert_with(|| {
+            self.cached_tokens += u64::from(part.tokens);
+            changes.push(Change::Cached(part.key));
+            Entry {
                 tokens: part.tokens,
                 users: 0,
-                used: now,
-                is_read: false,
+                last_used: now,
+                is_prefilled: false,
             }
         });
-        if kept.users == 0 {
-            self.idle.remove(&(kept.used, part.key));
-            self.used_tokens += u64::from(kept.tokens);
+        if entry.users == 0 {
+            self.unused.remove(&(entry.last_used, part.key));
+            self.used_tokens += u64::from(entry.tokens);
         }
-        kept.users += 1;
-        kept.used = now;
+        entry.users += 1;
+        entry.last_used = now;
     }
 
-    /// Forgets what it was sent and has kept: it has started again.
+    /// Clears the cache and the backlog of an engine that has restarted.
     pub fn reset(&mut self, changes: &mut Changes) {
-        changes.extend(self.keys().map(Change::Lost));
-        *self = Engine::new(self.memory);
+        changes.extend(self.keys().map(Change::Evicted));
+        *self = Engine::new(self.memory_tokens);
     }
 
-    /// Learns from someone else that it has a part of a prompt.
+    /// Notes a cached part that a router or the engine itself has reported.
     pub fn note_cached(&mut self, now: Millis, part: Part, changes: &mut Changes) {
-        let kept = self.kept.entry(part.key);
-        kept.or_insert_with(|| {
-            self.kept_tokens += u64::from(part.tokens);
-            self.idle.insert((now, part.key));
-            changes.push(Change::Kept(part.key));
-            Kept {
+        let entry = self.cache.entry(part.key);
+        entry.or_insert_with(|| {
+            self.cached_tokens += u64::from(part.tokens);
+            self.unused.insert((now, part.key));
+            changes.push(Change::Cached(part.key));
+            Entry {
                 tokens: part.tokens,
                 users: 0,
-                used: now,
-                is_read: true,
+                last_used: now,
+                is_prefilled: true,
             }
         });
         self.evict(changes);
     }
 
-    /// Notes a request's first token, `took_ms` after its grant: its prompt has been read.
-    pub fn note_first_byte(&mut self, now: Millis, reading: &mut Prefill, took_ms: Option<u32>) {
-        if std::mem::replace(&mut reading.has_begun, true) {
+    /// Notes the first event of a request, `took_ms` after its grant: its prompt has been
+    /// prefilled.
+    pub fn note_first_byte(&mut self, now: Millis, prefill: &mut Prefill, took_ms: Option<u32>) {
+        if std::mem::replace(&mut prefill.has_first_event, true) {
             return;
         }
-        // Copying takes its own time.
-        let is_plain = reading.copied == 0;
-        let first = clock::First {
-            heard: now,
+        // The time of a copy says nothing about the prefill speed.
+        let is_prefill_only = prefill.copied == 0;
+        let first = backlog::FirstEvent {
+            received: now,
             took_ms,
-            is_plain,
+            is_prefill_only,
         };
-        self.clock.began(&reading.expected, first);
-        for part in reading.prompt.parts() {
-            if let Some(kept) = self.kept.get_mut(&part.key) {
-                kept.is_read = true;
+        self.backlog.note_first_event(&prefill.expected, first);
+        for part in prefill.prompt.parts() {
+            if let Some(entry) = self.cache.get_mut(&part.key) {
+                entry.is_prefilled = true;
             }
         }
     }
 
     /// Ends a request.
     ///
-    /// A prompt of which no token came may never have been read: what it was to
-    /// bring is forgotten, or later requests would be sent here for nothing.
-    pub fn end(&mut self, now: Millis, reading: &Prefill, changes: &mut Changes) {
-        self.output = (self.output).saturating_sub(u64::from(reading.prompt.output));
-        if !reading.has_begun {
-            self.clock.cancel(now, &reading.expected);
+    /// A prompt without a first event may never have been prefilled: its new parts are
+    /// dropped, as later requests would otherwise be sent here for a cache that is empty.
+    pub fn end(&mut self, now: Millis, prefill: &Prefill, changes: &mut Changes) {
+        self.output_tokens = (self.output_tokens).saturating_sub(u64::from(prefill.prompt.output));
+        if !prefill.has_first_event {
+            self.backlog.cancel(now, &prefill.expected);
         }
-        for part in reading.prompt.parts() {
-            self.release(part.key, changes);
+        for part in prefill.prompt.parts() {
+            self.remove_user(part.key, changes);
         }
         self.evict(changes);
     }
 
-    /// Keeps a part for one running request less.
-    fn release(&mut self, key: u32, changes: &mut Changes) {
-        let Some(kept) = self.kept.get_mut(&key) else {
+    /// Removes a running request from the users of a part.
+    fn remove_user(&mut self, key: u32, changes: &mut Changes) {
+        let Some(entry) = self.cache.get_mut(&key) else {
             return;
         };
-        if kept.users == 1 {
-            self.used_tokens -= u64::from(kept.tokens);
-            self.idle.insert((kept.used, key));
+        if entry.users == 1 {
+            self.used_tokens -= u64::from(entry.tokens);
+            self.unused.insert((entry.last_used, key));
         }
-        kept.users = kept.users.saturating_sub(1);
-        if kept.users == 0 && !kept.is_read {
+        entry.users = entry.users.saturating_sub(1);
+        if entry.users == 0 && !entry.is_prefilled {
             self.drop_part(key, changes);
         }
     }
 
-    /// Forgets the parts used least recently, as the engine does.
+    /// Evicts the least recently used parts until the cache fits, as the engine does.
     fn evict(&mut self, changes: &mut Changes) {
-        while self.kept_tokens + self.output > self.memory {
-            let Some((_, key)) = self.idle.first().copied() else {
+        while self.cached_tokens + self.output_tokens > self.memory_tokens {
+            let Some((_, key)) = self.unused.first().copied() else {
                 return;
             };
             self.drop_part(key, changes);
         }
     }
 
-    /// Forgets a part without a user.
+    /// Drops a part without a user.
     fn drop_part(&mut self, key: u32, changes: &mut Changes) {
-        let Some(kept) = self.kept.remove(&key) else {
+        let Some(entry) = self.cache.remove(&key) else {
             return;
         };
-        self.idle.remove(&(kept.used, key));
-        self.kept_tokens -= u64::from(kept.tokens);
-        changes.push(Change::Lost(key));
+        self.unused.remove(&(entry.last_used, key));
+        self.cached_tokens -= u64::from(entry.tokens);
+        changes.push(Change::Evicted(key));
     }
 }
--- a/components/coordination/src/health.rs
+++ b/components/coordination/src/health.rs
@@ -1,40 +1,47 @@
-//! Ejection of endpoints that fail, and their careful return.
+//! Ejection of endpoints that fail repeatedly, and probes before their return (a circuit
+//! breaker).
 
 use state::clock::Millis;
 
-/// Failures in a row that eject an endpoint.
+/// Consecutive failures after which an endpoint is ejected.
 pub const EJECT_FAILURES: u32 = 3;
-/// First ejection, in milliseconds.
+/// Duration of the first ejection, in milliseconds; each further one lasts twice as long.
 pub const EJECT_MIN_MS: u64 = 1000;
-/// Longest ejection, in milliseconds.
+/// Longest duration of an ejection, in milliseconds.
 pub const EJECT_MAX_MS: u64 = 30_000;
+/// Most times that the duration of an ejection is doubled, so that the shift cannot overflow;
+/// [`EJECT_MAX_MS`] is reached before.
+const EJECT_DOUBLINGS_MAX: u32 = 8;
 
-/// What is known of an endpoint's health.
+/// Circuit breaker of one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
+    /// Consecutive failures.
     failures: u32,
+    /// Consecutive ejections.
     ejections: u32,
-    until: Option<Millis>,
+    /// End of the ejection; stays set until a probe succeeds.
+    ejected_until: Option<Millis>,
 }
 
-/// What a verdict changed.
+/// Change of an endpoint's health by the outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing.
+    /// No change.
     None,
-    /// The endpoint is ejected.
+    /// The endpoint was ejected.
     Ejected,
-    /// The endpoint is back.
+    /// The endpoint has returned from an ejection.
     Restored,
 }
 
 impl Health {
-    /// Requests that the endpoint may have in progress now, of `capacity`.
+    /// Requests that the endpoint may have in progress now, out of `capacity`.
     ///
-    /// After an ejection one probe goes first: a full batch sent to an
-    /// endpoint that is still broken would fail whole.
+    /// After an ejection the endpoint gets a single probe: a full batch would fail as a whole
+    /// if the endpoint were still broken.
     pub fn capacity(&self, now: Millis, capacity: u32) -> u32 {
-        match self.until {
+        match self.ejected_until {
             None => capacity,
             Some(until) if now < until => 0,
             Some(_) => capacity.min(1),
@@ -43,29 +50,29 @@
 
     /// When an ejected endpoint may be probed.
     pub fn ejected_until(&self) -> Option<Millis> {
-        self.until
+        self.ejected_until
     }
 
-    /// Counts a request that ended well.
+    /// Records a request that succeeded.
     pub fn record_success(&mut self) -> Change {
-        let was = self.until.is_some();
+        let was_ejected = self.ejected_until.is_some();
         *self = Health::default();
-        if was {
+        if was_ejected {
             Change::Restored
         } else {
             Change::None
         }
     }
 
-    /// Counts a request that failed.
+    /// Records a request that failed.
     pub fn record_failure(&mut self, now: Millis) -> Change {
         self.failures += 1;
-        let probing = self.until.is_some_and(|until| now >= until);
-        if !probing && (self.failures < EJECT_FAILURES || self.until.is_some()) {
+        let probing = self.ejected_until.is_some_and(|until| now >= until);
+        if !probing && (self.failures < EJECT_FAILURES || self.ejected_until.is_some()) {
             return Change::None;
         }
-        let longer = EJECT_MIN_MS << self.ejections.min(8);
-        self.until = Some(now.after(longer.min(EJECT_MAX_MS)));
+        let eject_ms = EJECT_MIN_MS << self.ejections.min(EJECT_DOUBLINGS_MAX);
+        self.ejected_until = Some(now.after(eject_ms.min(EJECT_MAX_MS)));
         self.ejections += 1;
         Change::Ejected
     }
--- a/components/coordination/src/reliability.rs
+++ b/components/coordination/src/reliability.rs
@@ -1,43 +1,44 @@
-//! The share of requests that an endpoint has failed of late.
+//! Share of its recent requests that an endpoint has failed.
 //!
-//! Ejection answers endpoints that fail everything. One that fails a part of its
-//! requests, or loses their answers, looks idle for it: its slots come free sooner
-//! than others'. One would see it get more requests than any sound endpoint.
+//! Ejection handles endpoints that fail every request. An endpoint that fails a part of its
+//! requests, or loses their answers, has free slots sooner than others and looks idle. Without
+//! this share it would get more requests than any sound endpoint.
 
 use state::clock::Millis;
 
-/// Weight of the latest outcome, as a part of this: an endpoint with ten outcomes a
-/// second is known within a second.
-const MEMORY: u64 = 8;
-/// Time in which a share halves without outcomes, in milliseconds. Endpoints that are
-/// avoided for their failures get few requests that could show them to be sound again.
-const HALF_MS: u64 = 2000;
+/// Divisor of the weight of the latest outcome in the average: with 8, an endpoint with ten
+/// outcomes a second is recognised within a second.
+const AVERAGE_DIVISOR: u64 = 8;
+/// Time in which the share halves without outcomes, in milliseconds. An endpoint that is
+/// avoided for its failures gets few requests that could show its recovery.
+const HALF_LIFE_MS: u64 = 2000;
 
-/// What is known of an endpoint's failures.
+/// Moving average of the failures of one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reliability {
-    /// Share of failures in thousandths, when it was last changed.
-    failed: u64,
+    /// Share of failures in thousandths, at the time `at`.
+    failed_permille: u64,
     at: Millis,
 }
 
 impl Reliability {
-    /// Counts an outcome.
+    /// Records the outcome of a request.
     pub fn record(&mut self, now: Millis, has_failed: bool) {
         let latest = if has_failed { 1000 } else { 0 };
-        self.failed = (self.failure_permille(now) * (MEMORY - 1) + latest) / MEMORY;
+        self.failed_permille =
+            (self.failure_permille(now) * (AVERAGE_DIVISOR - 1) + latest) / AVERAGE_DIVISOR;
         self.at = now;
     }
 
-    /// When the share next falls without an outcome; `None` if nothing has failed.
+    /// When the share next decreases without an outcome; `None` if it is zero.
     pub fn next_decay(&self, now: Millis) -> Option<Millis> {
-        let halvings = now.since(self.at) / HALF_MS + 1;
-        (self.failure_permille(now) > 0).then(|| self.at.after(halvings * HALF_MS))
+        let halvings = now.since(self.at) / HALF_LIFE_MS + 1;
+        (self.failure_permille(now) > 0).then(|| self.at.after(halvings * HALF_LIFE_MS))
     }
 
     /// Share of failures, in thousandths.
     pub fn failure_permille(&self, now: Millis) -> u64 {
-        let halvings = now.since(self.at) / HALF_MS;
-        self.failed >> halvings.min(63)
+        let halvings = now.since(self.at) / HALF_LIFE_MS;
+        self.failed_permille >> halvings.min(63)
     }
 }
--- a/components/coordination/src/scheduler/kept.rs
+++ b/components/coordination/src/scheduler/kept.rs
@@ -33,7 +33,7 @@
         };
         for part in reading.shared_parts() {
             let known = self.telling.known.get(&part.key);
-            if known.is_some_and(|k| self.slots.has_read(k.endpoint, part.key)) {
+            if known.is_some_and(|k| self.slots.has_prefilled(k.endpoint, part.key)) {
                 continue;
             }
             let kept = Kept { endpoint, part };
@@ -59,7 +59,7 @@
     /// Takes what engines of another scheduler keep.
     pub fn merge_cached(&mut self, kept: &[Kept]) {
         for kept in kept {
-            self.slots.learn_foreign(kept.part.key, kept.endpoint);
+            self.slots.add_foreign(kept.part.key, kept.endpoint);
         }
     }
 }
--- a/components/coordination/src/scheduler/mod.rs
+++ b/components/coordination/src/scheduler/mod.rs
@@ -598,7 +598,7 @@
         if !self.may_inquire {
             return;
         }
-        self.inquired = self.slots.unknown(now).into_iter().collect();
+        self.inquired = self.slots.with_empty_cache(now).into_iter().collect();
         effects.extend(self.inquired.iter().copied().map(Effect::RequestInventory));
     }
 
@@ -641,7 +641,7 @@
             // CAST: sessions are numbered by `u32`.
             routers: self.sessions.len() as u32,
             running: u32::try_from(self.running.len()).unwrap_or(u32::MAX),
-            busy: self.slots.busy(),
+            busy: self.slots.busy_percent(),
         };
         Effect::Grant(key.0, grant)
     }
--- a/components/coordination/src/slot/foreign.rs
+++ b/components/coordination/src/slot/foreign.rs
@@ -1,58 +1,59 @@
-//! Parts of prompts that engines of other schedulers have read.
+//! Prompt parts that engines of other schedulers have prefilled and can be copied from.
 
-use crate::engine::Mixed;
+use crate::engine::KeyHasher;
 use crate::prelude::*;
 use std::collections::{HashMap, VecDeque};
 use std::hash::BuildHasherDefault;
 
-/// Parts that are remembered: the shared ones of some thousand engines' memory.
-const PARTS: usize = 1 << 15;
+/// Most parts that are remembered: the shared parts in the memory of about a thousand engines.
+const PARTS_MAX: usize = 1 << 15;
 
-/// Where a part can be copied from that no engine here has read.
+/// Engines of other schedulers by the parts that they have prefilled.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Foreign {
-    keepers: HashMap<u32, EndpointId, BuildHasherDefault<Mixed>>,
-    /// Keys in the order in which they came to be known.
-    // INVARIANT: holds each key of `keepers` once.
+pub(super) struct Sources {
+    /// The engine that was reported last for each part.
+    engines: HashMap<u32, EndpointId, BuildHasherDefault<KeyHasher>>,
+    /// Keys in the order in which they were first reported.
+    // INVARIANT: holds each key of `engines` once.
     order: VecDeque<u32>,
 }
 
-impl Foreign {
-    /// Learns that an engine has read a part.
-    pub(super) fn learn(&mut self, key: u32, endpoint: EndpointId) {
-        if self.keepers.insert(key, endpoint).is_some() {
+impl Sources {
+    /// Notes that an engine has prefilled a part.
+    pub(super) fn insert(&mut self, key: u32, endpoint: EndpointId) {
+        if self.engines.insert(key, endpoint).is_some() {
             return;
         }
         self.order.push_back(key);
-        if self.order.len() > PARTS {
+        if self.order.len() > PARTS_MAX {
             if let Some(oldest) = self.order.pop_front() {
-                self.keepers.remove(&oldest);
+                self.engines.remove(&oldest);
             }
         }
     }
 
-    /// Forgets engines that `keep` refuses.
+    /// Removes the engines for which `keep` is false.
     pub(super) fn retain<F>(&mut self, keep: F)
     where
         F: Fn(EndpointId) -> bool,
     {
-        let before = self.keepers.len();
-        self.keepers.retain(|_, endpoint| keep(*endpoint));
-        if self.keepers.len() < before {
-            self.order.retain(|key| self.keepers.contains_key(key));
+        let before = self.engines.len();
+        self.engines.retain(|_, endpoint| keep(*endpoint));
+        if self.engines.len() < before {
+            self.order.retain(|key| self.engines.contains_key(key));
         }
     }
 
-    /// The engine that has read most of a prompt's start, and how many tokens that is.
-    pub(super) fn most(&self, prompt: &Prompt) -> Option<(EndpointId, u64)> {
-        if self.keepers.is_empty() {
+    /// The engine that has prefilled the longest start of a prompt, and its length in tokens.
+    pub(super) fn longest(&self, prompt: &Prompt) -> Option<(EndpointId, u64)> {
+        if self.engines.is_empty() {
             return None;
         }
         let ends = prompt.parts().scan(0, |end, part| {
             *end += u64::from(part.tokens);
             Some((part.key, *end))
         });
-        let known = ends.filter_map(|(key, end)| Some((*self.keepers.get(&key)?, end)));
+        let known = ends.filter_map(|(key, end)| Some((*self.engines.get(&key)?, end)));
         known.last()
     }
 }
--- a/components/coordination/src/slot/mod.rs
+++ b/components/coordination/src/slot/mod.rs
@@ -1,17 +1,17 @@
-//! Slots of a shard's endpoints and the choice among them.
+//! Slots of a shard's endpoints, and the selection of an endpoint for a request.
 
+mod cache;
 mod foreign;
-mod keeper;
-mod order;
-mod place;
+mod ranking;
+mod select;
 mod table;
 
-pub use self::place::Reservations;
+pub use self::select::Reservations;
 
-use self::foreign::Foreign;
-use self::keeper::Parts;
-use self::order::Order;
-use self::table::{Place, Table};
+use self::cache::Parts;
+use self::foreign::Sources;
+use self::ranking::Ranking;
+use self::table::{Index, Table};
 use crate::backoff::Backoff;
 use crate::engine::{Changes, Engine, Prefill};
 use crate::health::{Change, Health};
@@ -21,90 +21,103 @@
 use crate::warmup::Pacer;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How far back a load report may lag, in milliseconds.
+/// Longest delay of an endpoint's load report, in milliseconds.
 pub const REPORT_LAG_MS: u64 = 2000;
-/// Prompt prefixes remembered for each endpoint.
-pub const PREFIXES: usize = 64;
+/// Most prompt prefixes that are remembered for each endpoint that is no engine.
+pub const PREFIXES_MAX: usize = 64;
 
-/// How many times full an endpoint that is no engine counts as if it fails all of its
-/// requests: with 2, one that fails half of them comes after a full one.
+/// Load, in multiples of all slots, at which an endpoint is ranked if it fails all of its
+/// requests: with 2, an endpoint that fails half of them ranks behind a full one.
 const FAILURE_LOADS: u64 = 2;
+/// Most entries in the running history of an endpoint: only their maximum is used, so that the
+/// oldest of many quick changes can be dropped.
+const HISTORY_MAX: usize = 256;
 
-/// What a scheduler knows of one endpoint.
+/// State of one endpoint at its scheduler.
 #[derive(Clone, Debug)]
-struct Slot {
+struct Endpoint {
     id: EndpointId,
     slots: u32,
+    /// Requests beyond its slots that may be sent ahead, to cover the grant's round trip.
     lead: u32,
+    /// Whether the endpoint gets no new requests.
     leaving: bool,
+    /// Requests in progress that this scheduler has granted.
     running: u32,
-    /// Recent (time, running), so that a late report is set against what we had
-    /// in progress when it was made.
+    /// Recent values of `running` with their times. A load report that arrives late is
+    /// compared with the requests that were in progress when it was made.
     history: VecDeque<(Millis, u32)>,
-    foreign: u32,
+    /// Requests in progress that do not come from this scheduler.
+    foreign_load: u32,
     health: Health,
     reliability: Reliability,
+    /// Keys of the prompt prefixes that were sent last, if this is no engine.
     prefixes: VecDeque<u32>,
-    /// Its picture, if it is a model engine.
+    /// Model of the endpoint, if it is an inference engine.
     engine: Option<Engine>,
-    /// When it says that it started, in Unix milliseconds.
-    born: Option<u64>,
-    /// Until when it wants no requests of a router, by the number of that one's session.
-    closed: BTreeMap<u32, Millis>,
-    /// Until when it wants none at all.
-    left: Option<Millis>,
-    /// When it was last granted a request here.
-    granted: Option<Millis>,
-    /// At which rate it is granted requests, while it is cold.
-    ramp: Option<Pacer>,
+    /// When the endpoint started by its own report, in Unix milliseconds.
+    started_at: Option<u64>,
+    /// Until when the endpoint refuses requests of a router, by the router's session.
+    backoff_until: BTreeMap<u32, Millis>,
+    /// Until when the endpoint refuses all requests because it is leaving.
+    leaving_until: Option<Millis>,
+    /// When the endpoint was last granted a request here.
+    granted_at: Option<Millis>,
+    /// Limits the rate of requests while the endpoint is cold.
+    pacer: Option<Pacer>,
 }
 
-/// What to look for in an endpoint.
+/// Requirements of a request on its endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct Criteria {
-    /// Session of the router that asks, if one does.
+    /// Session of the router with the request, if it came from one.
     pub session: Option<u32>,
-    /// What is known of the prompt.
+    /// The prompt as far as it is known.
     pub prompt: Prompt,
     /// Endpoint to avoid, if another is free.
     pub avoid: Option<EndpointId>,
-    /// Time to the first byte within which an answer is on time, in milliseconds.
+    /// Latency target: time to the first byte within which an answer is on time, in
+    /// milliseconds.
     pub aim_ms: u64,
-    /// Time that is left of it, in milliseconds.
+    /// Remaining part of `aim_ms`.
     pub slack_ms: u64,
-    /// Whether it is to be sent only where its answer is expected in time.
+    /// Whether the request is sent only where its answer is expected in time.
     pub only_in_time: bool,
 }
 
-/// How to choose among free endpoints; all but the first are baselines.
+/// Strategy for the choice among free endpoints that are no engines. All but the first are
+/// baselines for comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Strategy {
-    /// Least loaded, then the one that has seen the prefix.
+    /// The endpoint with the least load, where one that has seen the prompt prefix counts as
+    /// one request emptier.
     LeastLoaded,
-    /// The next one in turn.
+    /// Each endpoint in turn.
     RoundRobin,
-    /// Any, by a hash of the count of choices.
+    /// A pseudorandom endpoint, by a hash of the number of choices.
     Random,
 }
 
-/// The endpoints of one shard.
+/// The endpoints of one shard and their slots.
 #[derive(Clone, Debug)]
 pub struct Slots {
-    all: Table,
-    /// Engines by the parts that they keep.
+    endpoints: Table,
+    /// Engines by the parts that they have cached.
     parts: Parts,
-    /// Parts that engines elsewhere keep.
-    foreign: Foreign,
-    /// Engines by when they would answer.
-    order: Order,
-    memory: Option<u64>,
-    /// Tokens that an engine copies from another one in a second, if it can.
-    copy_rate: Option<u64>,
-    /// Requests that a cold endpoint is granted, in thousandths a second; `None` for no
-    /// bound.
+    /// Engines of other schedulers by the parts that they have prefilled.
+    foreign: Sources,
+    /// Engines by the time in which they would answer.
+    ranking: Ranking,
+    /// Cache size of an engine; `None` if the endpoints are no engines.
+    memory_tokens: Option<u64>,
+    /// Tokens that an engine copies from another one in a second; `None` if it cannot.
+    copy_tokens_per_s: Option<u64>,
+    /// Rate of requests to a cold endpoint, in thousandths of a request per second; `None`
+    /// for no limit.
     cold_rate: Option<u32>,
-    choice: Strategy,
-    turn: u64,
+    strategy: Strategy,
+    /// Number of choices so far.
+    choices: u64,
 }
 
 impl Default for Slots {
@@ -114,55 +127,58 @@
 }
 
 impl Slots {
-    /// No endpoints yet, chosen by `choice`.
-    pub fn new(choice: Strategy) -> Self {
+    /// A shard without endpoints, which are chosen by `strategy` if they are no engines.
+    pub fn new(strategy: Strategy) -> Self {
         Slots {
-            all: Table::default(),
+            endpoints: Table::default(),
             parts: Parts::default(),
-            foreign: Foreign::default(),
-            order: Order::default(),
-            memory: None,
-            copy_rate: None,
+            foreign: Sources::default(),
+            ranking: Ranking::default(),
+            memory_tokens: None,
+            copy_tokens_per_s: None,
             cold_rate: None,
-            choice,
-            turn: 0,
+            strategy,
+            choices: 0,
         }
     }
 
-    /// Sets the memory in tokens of all endpoints that are set from now on;
-    /// `None` if they are no model engines.
-    pub fn set_memory_tokens(&mut self, memory: Option<u64>) {
-        self.memory = memory;
+    /// Sets the cache size of all endpoints that are set from now on; `None` if they are no
+    /// engines.
+    pub fn set_memory_tokens(&mut self, memory_tokens: Option<u64>) {
+        self.memory_tokens = memory_tokens;
     }
 
-    /// Sets how many tokens an engine copies from another one in a second; `None`
-    /// if engines cannot.
-    pub fn set_copy_tokens_per_s(&mut self, rate: Option<u64>) {
-        self.copy_rate = rate;
+    /// Sets the tokens that an engine copies from another one in a second; `None` if engines
+    /// cannot copy.
+    pub fn set_copy_tokens_per_s(&mut self, copy_tokens_per_s: Option<u64>) {
+        self.copy_tokens_per_s = copy_tokens_per_s;
     }
 
-    /// Part of the engines that have a prompt to read, in hundredths, as of the last choice.
-    pub fn busy(&self) -> u8 {
-        self.order.busy()
+    /// Engines with a prefill backlog, in percent, as of the last choice.
+    pub fn busy_percent(&self) -> u8 {
+        self.ranking.busy_percent()
     }
 
     /// Whether engines copy parts from each other.
     pub fn can_copy(&self) -> bool {
-        self.copy_rate.is_some()
+        self.copy_tokens_per_s.is_some()
     }
 
-    /// Whether an engine here has read a part.
-    pub fn has_read(&self, id: EndpointId, key: u32) -> bool {
-        let engine = self.all.get(id).and_then(|slot| slot.engine.as_ref());
-        engine.is_some_and(|engine| engine.has_read_part(key))
+    /// Whether an engine of this shard has prefilled a part.
+    pub fn has_prefilled(&self, id: EndpointId, key: u32) -> bool {
+        let engine = self
+            .endpoints
+            .get(id)
+            .and_then(|endpoint| endpoint.engine.as_ref());
+        engine.is_some_and(|engine| engine.has_prefilled(key))
     }
 
-    /// Learns that an engine of another scheduler has read a part.
-    pub fn learn_foreign(&mut self, key: u32, endpoint: EndpointId) {
-        self.foreign.learn(key, endpoint);
+    /// Notes that an engine of another scheduler has prefilled a part.
+    pub fn add_foreign(&mut self, key: u32, endpoint: EndpointId) {
+        self.foreign.insert(key, endpoint);
     }
 
-    /// Forgets engines of other schedulers that `keep` refuses.
+    /// Removes the engines of other schedulers for which `keep` is false.
     pub fn retain_foreign<F>(&mut self, keep: F)
     where
         F: Fn(EndpointId) -> bool,
@@ -170,110 +186,113 @@
         self.foreign.retain(keep);
     }
 
-    /// Sets how many requests a cold endpoint is granted, in thousandths a second; `None` for
-    /// no bound.
+    /// Sets the rate of requests to a cold endpoint, in thousandths of a request per second;
+    /// `None` for no limit.
     pub fn set_cold_rate(&mut self, rate: Option<u32>) {
         self.cold_rate = rate;
     }
 
-    /// Notes that an endpoint is cold until `until`. Of those who share the rate, each begins
-    /// by another `part` of the time between two requests, in thousandths.
-    pub fn set_cold(&mut self, now: Millis, id: EndpointId, until: Millis, part: u64) {
+    /// Notes that an endpoint is cold until `until`. Its first request is delayed by
+    /// `offset_permille` of the interval between two requests, so that processes which share
+    /// the rate do not send at the same time.
+    pub fn set_cold(&mut self, now: Millis, id: EndpointId, until: Millis, offset_permille: u64) {
         let Some(rate) = self.cold_rate.filter(|_| until > now) else {
             return;
         };
-        let Some(slot) = self.touch(id) else {
+        let Some(endpoint) = self.endpoint_mut(id) else {
             return;
         };
-        match slot.ramp.as_mut().filter(|ramp| ramp.until() > now) {
-            Some(ramp) => ramp.extend(until, rate),
+        match endpoint.pacer.as_mut().filter(|pacer| pacer.until() > now) {
+            Some(pacer) => pacer.extend(until, rate),
             None => {
-                let quiet = slot.granted.unwrap_or(now);
-                slot.ramp = Some(Pacer::new(until, rate, quiet).shifted(part));
+                let granted_at = endpoint.granted_at.unwrap_or(now);
+                endpoint.pacer =
+                    Some(Pacer::new(until, rate, granted_at).with_offset(offset_permille));
             }
         }
     }
 
     /// Adds or changes an endpoint.
     pub fn set(&mut self, id: EndpointId, slots: u32, lead: u32, leaving: bool) {
-        let place = self.all.place_or_insert(id, || Slot::new(id));
-        self.order.touch(place);
-        let Some(slot) = self.all.at_mut(place) else {
+        let index = self.endpoints.index_or_insert(id, || Endpoint::new(id));
+        self.ranking.mark_stale(index);
+        let Some(endpoint) = self.endpoints.at_mut(index) else {
             return;
         };
-        match (self.memory, &mut slot.engine) {
-            (Some(memory), Some(engine)) => engine.set_memory_tokens(memory),
-            (Some(memory), engine @ None) => *engine = Some(Engine::new(memory)),
+        match (self.memory_tokens, &mut endpoint.engine) {
+            (Some(tokens), Some(engine)) => engine.set_memory_tokens(tokens),
+            (Some(tokens), engine @ None) => *engine = Some(Engine::new(tokens)),
             (None, engine) => {
                 let mut changes = Changes::new();
                 if let Some(mut engine) = engine.take() {
                     engine.reset(&mut changes);
                 }
-                self.parts.note(place, &changes);
+                self.parts.apply(index, &changes);
             }
         }
-        slot.slots = slots;
-        slot.lead = lead;
-        slot.leaving = leaving;
+        endpoint.slots = slots;
+        endpoint.lead = lead;
+        endpoint.leaving = leaving;
     }
 
-    /// Takes an endpoint's word to the router of a session that it wants no requests.
+    /// Notes that an endpoint has asked the router of a session to send no requests for a
+    /// while; an endpoint that is leaving gets no requests from any router.
     pub fn back_off(&mut self, now: Millis, session: u32, backoff: &Backoff) {
-        let Some(slot) = self.touch(backoff.endpoint) else {
+        let Some(endpoint) = self.endpoint_mut(backoff.endpoint) else {
             return;
         };
         let until = now.after(u64::from(backoff.ms));
         if backoff.is_leaving {
-            slot.left = slot.left.max(Some(until));
+            endpoint.leaving_until = endpoint.leaving_until.max(Some(until));
             return;
         }
-        slot.closed.retain(|_, until| *until > now);
-        let known = slot.closed.entry(session).or_insert(until);
+        endpoint.backoff_until.retain(|_, until| *until > now);
+        let known = endpoint.backoff_until.entry(session).or_insert(until);
         *known = until.max(*known);
     }
 
-    /// Forgets what endpoints have said to the router of a session that has ended.
+    /// Removes the backoffs of all endpoints towards a session that has ended.
     pub fn clear_backoff(&mut self, session: u32) {
-        for slot in self.all.values_mut() {
-            slot.closed.remove(&session);
+        for endpoint in self.endpoints.values_mut() {
+            endpoint.backoff_until.remove(&session);
         }
     }
 
-    /// Forgets endpoints that `keep` refuses.
+    /// Removes the endpoints for which `keep` is false.
     pub fn retain<F>(&mut self, keep: F)
     where
         F: Fn(EndpointId) -> bool,
     {
-        for id in self.all.refused(keep) {
-            let Some((place, slot)) = self.all.remove(id) else {
+        for id in self.endpoints.rejected_by(keep) {
+            let Some((index, endpoint)) = self.endpoints.remove(id) else {
                 continue;
             };
             let mut changes = Changes::new();
-            if let Some(mut engine) = slot.engine {
+            if let Some(mut engine) = endpoint.engine {
                 engine.reset(&mut changes);
             }
-            self.parts.note(place, &changes);
-            self.order.touch(place);
+            self.parts.apply(index, &changes);
+            self.ranking.mark_stale(index);
         }
     }
 
-    /// The endpoint to which a request is best sent now; `None` if it is better
-    /// off waiting, which `claims` is told of.
+    /// The best endpoint for a request; `None` if the request is better off waiting, which
+    /// is noted in `reservations`.
     pub fn choose(
         &mut self,
         now: Millis,
         criteria: Criteria,
-        claims: &mut Reservations,
+        reservations: &mut Reservations,
     ) -> Option<EndpointId> {
-        if self.memory.is_some() {
-            return self.place(now, criteria, claims);
+        if self.memory_tokens.is_some() {
+            return self.choose_engine(now, criteria, reservations);
         }
-        self.best(now, criteria, true)
-            .or_else(|| self.best(now, criteria, false))
+        self.choose_plain(now, criteria, true)
+            .or_else(|| self.choose_plain(now, criteria, false))
     }
 
-    /// Takes a slot of an endpoint for the first try of a request; gives what that
-    /// takes of it, if it is a model engine.
+    /// Takes a slot of an endpoint for the first try of a request. Returns the work of the
+    /// request if the endpoint is an engine.
     pub fn acquire(&mut self, now: Millis, id: EndpointId, prompt: Prompt) -> Option<Prefill> {
         self.acquire_with(now, id, prompt, true)
     }
@@ -289,248 +308,259 @@
     ) -> Option<Prefill> {
         let source = copies.then(|| self.source(now, &prompt)).flatten();
         self.adopt(now, id);
-        let place = self.all.place(id)?;
-        let slot = self.all.at_mut(place)?;
-        slot.granted = Some(now);
-        if let Some(ramp) = &mut slot.ramp {
-            ramp.take(now);
+        let index = self.endpoints.index_of(id)?;
+        let endpoint = self.endpoints.at_mut(index)?;
+        endpoint.granted_at = Some(now);
+        if let Some(pacer) = &mut endpoint.pacer {
+            pacer.take(now);
         }
-        let Some(engine) = &mut slot.engine else {
-            slot.remember(prompt.first_key());
+        let Some(engine) = &mut endpoint.engine else {
+            endpoint.remember_prefix(prompt.first_key());
             return None;
         };
         let mut changes = Changes::new();
-        let reading = engine.begin(now, prompt, source, &mut changes);
-        self.parts.note(place, &changes);
-        Some(reading)
+        let prefill = engine.begin(now, prompt, source, &mut changes);
+        self.parts.apply(index, &changes);
+        Some(prefill)
     }
 
-    /// Engines of which nothing is known.
-    pub fn unknown(&self, now: Millis) -> Vec<EndpointId> {
-        let open = self.all.iter().filter(|(_, slot)| slot.is_open(now));
-        let unknown = open.filter(|(_, s)| s.engine.as_ref().is_some_and(Engine::is_unknown));
-        unknown.map(|(id, _)| id).collect()
+    /// Engines that accept requests and of whose cache nothing is known.
+    pub fn with_empty_cache(&self, now: Millis) -> Vec<EndpointId> {
+        let open = self
+            .endpoints
+            .iter()
+            .filter(|(_, endpoint)| endpoint.is_open(now));
+        let empty = open.filter(|(_, e)| e.engine.as_ref().is_some_and(Engine::has_empty_cache));
+        empty.map(|(id, _)| id).collect()
     }
 
-    /// Notes when an endpoint says that it started; false if it was an earlier life
-    /// of it that said so.
+    /// Notes the start time that an endpoint has reported; false if it precedes the known
+    /// one, so that the report comes from an earlier run of the endpoint.
     ///
-    /// One that has started again under its name has kept nothing. One would see
-    /// prompts sent to it for parts that it reads again, and its place in the order
-    /// decided by what its earlier life failed.
-    pub fn note_start(&mut self, id: EndpointId, born: Option<u64>) -> bool {
-        let Some(place) = self.all.place(id) else {
+    /// An endpoint that has restarted under its name has an empty cache, and the failures of
+    /// its earlier run do not count: prompts would otherwise be sent to it for parts that it
+    /// has to prefill again, and its rank would depend on its earlier run.
+    pub fn note_start(&mut self, id: EndpointId, started_at: Option<u64>) -> bool {
+        let Some(index) = self.endpoints.index_of(id) else {
             return true;
         };
-        let (Some(slot), Some(born)) = (self.all.at_mut(place), born) else {
+        let (Some(endpoint), Some(started_at)) = (self.endpoints.at_mut(index), started_at) else {
             return true;
         };
-        let known = *slot.born.get_or_insert(born);
-        if born <= known {
-            return born == known;
+        let known = *endpoint.started_at.get_or_insert(started_at);
+        if started_at <= known {
+            return started_at == known;
         }
-        slot.born = Some(born);
-        slot.reliability = Reliability::default();
+        endpoint.started_at = Some(started_at);
+        endpoint.reliability = Reliability::default();
         let mut changes = Changes::new();
-        if let Some(engine) = &mut slot.engine {
+        if let Some(engine) = &mut endpoint.engine {
             engine.reset(&mut changes);
         }
-        self.parts.note(place, &changes);
-        self.order.touch(place);
+        self.parts.apply(index, &changes);
+        self.ranking.mark_stale(index);
         true
     }
 
-    /// Learns that an engine has a part of a prompt.
+    /// Notes a part that an engine is reported to have cached.
     pub fn note_cached(&mut self, now: Millis, id: EndpointId, part: Part) {
-        self.change(id, |engine, changes| engine.note_cached(now, part, changes));
+        self.with_engine(id, |engine, changes| engine.note_cached(now, part, changes));
     }
 
-    /// Notes the first byte of an answer of an engine, `took_ms` after its grant.
+    /// Notes the first byte of an answer of an engine, `took_ms` after the grant.
     pub fn note_first_byte(
         &mut self,
         now: Millis,
         id: EndpointId,
-        reading: &mut Prefill,
+        prefill: &mut Prefill,
         took_ms: Option<u32>,
     ) {
-        self.change(id, |engine, _| {
-            engine.note_first_byte(now, reading, took_ms)
+        self.with_engine(id, |engine, _| {
+            engine.note_first_byte(now, prefill, took_ms)
         });
     }
 
-    /// Gives back what a request took of an engine.
-    pub fn end_prefill(&mut self, now: Millis, id: EndpointId, reading: &Prefill) {
-        self.change(id, |engine, changes| engine.end(now, reading, changes));
+    /// Ends the work of a request on an engine.
+    pub fn end_prefill(&mut self, now: Millis, id: EndpointId, prefill: &Prefill) {
+        self.with_engine(id, |engine, changes| engine.end(now, prefill, changes));
     }
 
-    /// Changes an engine, and what is known of it beside.
-    fn change<F>(&mut self, id: EndpointId, act: F)
+    /// Changes an engine, and brings the index of cached parts and the ranking up to date.
+    fn with_engine<F>(&mut self, id: EndpointId, act: F)
     where
         F: FnOnce(&mut Engine, &mut Changes),
     {
-        let Some(place) = self.all.place(id) else {
+        let Some(index) = self.endpoints.index_of(id) else {
             return;
         };
-        let slot = self.all.at_mut(place);
-        let Some(engine) = slot.and_then(|s| s.engine.as_mut()) else {
+        let endpoint = self.endpoints.at_mut(index);
+        let Some(engine) = endpoint.and_then(|e| e.engine.as_mut()) else {
             return;
         };
         let mut changes = Changes::new();
         act(engine, &mut changes);
-        self.parts.note(place, &changes);
-        self.order.touch(place);
+        self.parts.apply(index, &changes);
+        self.ranking.mark_stale(index);
     }
 
-    /// An endpoint that is about to change.
-    fn touch(&mut self, id: EndpointId) -> Option<&mut Slot> {
-        let place = self.all.place(id)?;
-        self.order.touch(place);
-        self.all.at_mut(place)
+    /// An endpoint to change, which is then ranked anew.
+    fn endpoint_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
+        let index = self.endpoints.index_of(id)?;
+        self.ranking.mark_stale(index);
+        self.endpoints.at_mut(index)
     }
 
-    /// Counts a request that is in progress already.
+    /// Counts a request in progress that another scheduler has granted.
     pub fn adopt(&mut self, now: Millis, id: EndpointId) {
-        if let Some(slot) = self.touch(id) {
-            slot.running += 1;
-            slot.note(now);
+        if let Some(endpoint) = self.endpoint_mut(id) {
+            endpoint.running += 1;
+            endpoint.record_running(now);
         }
     }
 
-    /// Frees a slot; the verdict counts towards the endpoint's health.
+    /// Releases a slot; the verdict counts towards the endpoint's health.
     pub fn release(&mut self, now: Millis, id: EndpointId, verdict: Option<Verdict>) -> Change {
-        let Some(slot) = self.touch(id) else {
+        let Some(endpoint) = self.endpoint_mut(id) else {
             return Change::None;
         };
-        slot.running = slot.running.saturating_sub(1);
-        slot.note(now);
+        endpoint.running = endpoint.running.saturating_sub(1);
+        endpoint.record_running(now);
         match verdict {
-            Some(Verdict::Fine) => slot.reliability.record(now, false),
-            Some(Verdict::Failed | Verdict::Error) => slot.reliability.record(now, true),
+            Some(Verdict::Fine) => endpoint.reliability.record(now, false),
+            Some(Verdict::Failed | Verdict::Error) => endpoint.reliability.record(now, true),
             Some(Verdict::Gone) | None => {}
         }
         match verdict {
-            // It lives: whether others would do better, its reliability tells.
-            Some(Verdict::Fine | Verdict::Error) => slot.health.record_success(),
-            Some(Verdict::Failed) => slot.health.record_failure(now),
+            // An endpoint that answers with errors is alive: only its reliability suffers.
+            Some(Verdict::Fine | Verdict::Error) => endpoint.health.record_success(),
+            Some(Verdict::Failed) => endpoint.health.record_failure(now),
             Some(Verdict::Gone) | None => Change::None,
         }
     }
 
-    /// Notes that an endpoint has said nothing on a request for far too long.
+    /// Counts a request to which an endpoint has not responded for far too long as failed.
     pub fn note_silence(&mut self, now: Millis, id: EndpointId) {
-        if let Some(slot) = self.touch(id) {
-            slot.reliability.record(now, true);
+        if let Some(endpoint) = self.endpoint_mut(id) {
+            endpoint.reliability.record(now, true);
         }
     }
 
-    /// Takes an endpoint's own report of how many requests it has.
+    /// Takes an endpoint's own report of its number of requests in progress.
     ///
-    /// What it has beyond the most that we had in progress of late is someone
-    /// else's work. A lagging report can thus not free or take a slot of ours.
+    /// The load beyond the recent maximum of this scheduler's own requests comes from
+    /// elsewhere. A report that lags can thus neither free nor take a slot of its own.
     pub fn report_load(&mut self, now: Millis, id: EndpointId, load: u32) {
-        let Some(slot) = self.touch(id) else {
+        let Some(endpoint) = self.endpoint_mut(id) else {
             return;
         };
-        slot.note(now);
-        let ours = slot.history.iter().map(|(_, n)| *n).max().unwrap_or(0);
-        slot.foreign = load.saturating_sub(ours);
+        endpoint.record_running(now);
+        let own = endpoint.history.iter().map(|(_, n)| *n).max().unwrap_or(0);
+        endpoint.foreign_load = load.saturating_sub(own);
     }
 
-    /// Share of its requests that an endpoint has failed of late, in thousandths.
+    /// Share of recent requests that an endpoint has failed, in thousandths.
     pub fn failure_permille(&self, now: Millis, id: EndpointId) -> u64 {
-        self.all
+        self.endpoints
             .get(id)
-            .map_or(0, |s| s.reliability.failure_permille(now))
+            .map_or(0, |e| e.reliability.failure_permille(now))
     }
 
     /// Whether any endpoint has a slot free.
     pub fn has_free_slot(&self, now: Millis) -> bool {
-        self.all.values().any(|s| s.room(now) > 0)
+        self.endpoints.values().any(|e| e.free_slots(now) > 0)
     }
 
     /// Requests in progress on an endpoint.
     pub fn running(&self, id: EndpointId) -> u32 {
-        self.all.get(id).map_or(0, |s| s.running)
+        self.endpoints.get(id).map_or(0, |e| e.running)
     }
 
-    /// Slots and requests in progress over all endpoints that take work.
+    /// Slots and requests in progress over all endpoints that are not leaving.
     pub fn totals(&self) -> (u32, u32) {
-        let open = || self.all.values().filter(|s| !s.leaving);
+        let open = || self.endpoints.values().filter(|e| !e.leaving);
         (
-            open().map(|s| s.slots).sum(),
-            open().map(|s| s.running).sum(),
+            open().map(|e| e.slots).sum(),
+            open().map(|e| e.running).sum(),
         )
     }
 
-    /// Tokens that all engines have yet to read, and the slowest and the fastest
-    /// rate at which one reads, in tokens a second.
+    /// Tokens that all engines have yet to prefill, and the lowest and highest prefill speed
+    /// of an engine in tokens per second.
     pub fn prefill_totals(&self) -> (u64, u64, u64) {
-        let engines = || self.all.values().filter_map(|s| s.engine.as_ref());
-        let rates = || engines().map(Engine::rate);
+        let engines = || self.endpoints.values().filter_map(|e| e.engine.as_ref());
+        let speeds = || engines().map(Engine::tokens_per_s);
         (
             engines().map(Engine::pending_tokens).sum(),
-            rates().min().unwrap_or(0),
-            rates().max().unwrap_or(0),
+            speeds().min().unwrap_or(0),
+            speeds().max().unwrap_or(0),
         )
     }
 
     /// When an ejected endpoint may next be probed.
     pub fn next_probe(&self) -> Option<Millis> {
-        self.all
+        self.endpoints
             .values()
-            .filter_map(|s| s.health.ejected_until())
+            .filter_map(|e| e.health.ejected_until())
             .min()
     }
 
-    fn best(&mut self, now: Millis, criteria: Criteria, avoiding: bool) -> Option<EndpointId> {
+    fn choose_plain(
+        &mut self,
+        now: Millis,
+        criteria: Criteria,
+        avoiding: bool,
+    ) -> Option<EndpointId> {
         let avoid = criteria.avoid.filter(|_| avoiding);
-        let is_free = |s: &Slot| s.room(now) > 0 && !s.is_closed_to(now, criteria.session);
-        let free = (self.all.iter()).filter(|(id, s)| is_free(s) && Some(*id) != avoid);
-        self.turn += 1;
-        match self.choice {
+        let is_free =
+            |e: &Endpoint| e.free_slots(now) > 0 && !e.is_backed_off(now, criteria.session);
+        let free = (self.endpoints.iter()).filter(|(id, e)| is_free(e) && Some(*id) != avoid);
+        self.choices += 1;
+        match self.strategy {
             Strategy::LeastLoaded => free
-                .min_by_key(|(id, s)| (s.score(now, &criteria.prompt), *id))
+                .min_by_key(|(id, e)| (e.score(now, &criteria.prompt), *id))
                 .map(|(id, _)| id),
-            Strategy::RoundRobin => nth(free.map(|(id, _)| id).collect(), self.turn),
+            Strategy::RoundRobin => nth(free.map(|(id, _)| id).collect(), self.choices),
             Strategy::Random => {
-                let mixed = self.turn.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20;
+                let mixed = self.choices.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20;
                 nth(free.map(|(id, _)| id).collect(), mixed)
             }
         }
     }
 }
 
-fn nth(free: SmallVec<[EndpointId; 16]>, turn: u64) -> Option<EndpointId> {
+/// The `n`th of the free endpoints, modulo their number.
+fn nth(free: SmallVec<[EndpointId; 16]>, n: u64) -> Option<EndpointId> {
     if free.is_empty() {
         return None;
     }
     // CAST: the remainder is below the length, which is a `usize`.
-    Some(free[(turn % free.len() as u64) as usize])
+    Some(free[(n % free.len() as u64) as usize])
 }
 
-impl Slot {
+impl Endpoint {
     fn new(id: EndpointId) -> Self {
-        Slot {
+        Endpoint {
             id,
             slots: 0,
             lead: 0,
             leaving: false,
             running: 0,
             history: VecDeque::new(),
-            foreign: 0,
+            foreign_load: 0,
             health: Health::default(),
             reliability: Reliability::default(),
             prefixes: VecDeque::new(),
             engine: None,
-            born: None,
-            closed: BTreeMap::new(),
-            left: None,
-            granted: None,
-            ramp: None,
+            started_at: None,
+            backoff_until: BTreeMap::new(),
+            leaving_until: None,
+            granted_at: None,
+            pacer: None,
         }
     }
 
-    fn note(&mut self, now: Millis) {
+    /// Appends the number of requests in progress to the history.
+    fn record_running(&mut self, now: Millis) {
         self.history.push_back((now, self.running));
         while let Some((at, _)) = self.history.get(1) {
             if now.since(*at) <= REPORT_LAG_MS {
@@ -538,60 +568,60 @@
             }
             self.history.pop_front();
         }
-        // Changes within a millisecond need no more than their largest.
-        if self.history.len() > 256 {
+        if self.history.len() > HISTORY_MAX {
             self.history.pop_front();
         }
     }
 
-    fn room(&self, now: Millis) -> u32 {
-        if self.leaving || self.has_left(now) || self.is_paced(now) {
+    /// Number of requests that the endpoint can take now.
+    fn free_slots(&self, now: Millis) -> u32 {
+        if self.leaving || self.is_leaving(now) || self.is_paced(now) {
             return 0;
         }
         let capacity = self.health.capacity(now, self.slots + self.lead);
-        capacity.saturating_sub(self.running + self.foreign)
+        capacity.saturating_sub(self.running + self.foreign_load)
     }
 
-    fn remember(&mut self, prefix: u32) {
+    fn remember_prefix(&mut self, prefix: u32) {
         if prefix == 0 || self.prefixes.contains(&prefix) {
             return;
         }
         self.prefixes.push_back(prefix);
-        if self.prefixes.len() > PREFIXES {
+        if self.prefixes.len() > PREFIXES_MAX {
             self.prefixes.pop_front();
         }
     }
 
-    /// Whether it has said that it wants no more requests from anyone.
-    fn has_left(&self, now: Millis) -> bool {
-        self.left.is_some_and(|until| until > now)
+    /// Whether the endpoint has told a router that it is leaving.
+    fn is_leaving(&self, now: Millis) -> bool {
+        self.leaving_until.is_some_and(|until| until > now)
     }
 
-    /// Whether it wants no requests of the router of a session.
-    fn is_closed_to(&self, now: Millis, session: Option<u32>) -> bool {
-        let until = session.and_then(|session| self.closed.get(&session));
+    /// Whether the endpoint refuses requests of the router of a session.
+    fn is_backed_off(&self, now: Millis, session: Option<u32>) -> bool {
+        let until = session.and_then(|session| self.backoff_until.get(&session));
         until.is_some_and(|until| *until > now)
     }
 
-    /// Whether it is cold, and has had as many requests as it bears for now.
+    /// Whether the endpoint is cold and gets no request yet, to keep to its rate.
     fn is_paced(&self, now: Millis) -> bool {
-        self.ramp.is_some_and(|ramp| !ramp.admits(now))
+        self.pacer.is_some_and(|pacer| !pacer.admits(now))
     }
 
-    /// Whether it takes work at all now, if not at this moment.
+    /// Whether the endpoint accepts requests, even if all of its slots are taken.
     fn is_open(&self, now: Millis) -> bool {
         !self.leaving
-            && !self.has_left(now)
+            && !self.is_leaving(now)
             && !self.is_paced(now)
             && self.health.capacity(now, self.slots + self.lead) > 0
     }
 
-    /// Load in thousandths of the slots, where an endpoint that has not seen the
-    /// prefix counts as one request fuller, and one that fails as fuller by that.
+    /// Load in thousandths of the slots; the lowest score is best. An endpoint that has not
+    /// seen the prompt prefix counts as one request fuller, and failures add to the load.
     fn score(&self, now: Millis, prompt: &Prompt) -> u64 {
         let prefix = prompt.first_key();
-        let cold = u32::from(prefix != 0 && !self.prefixes.contains(&prefix));
-        let load = u64::from(self.running + self.foreign + cold) * 1000;
+        let unseen = u32::from(prefix != 0 && !self.prefixes.contains(&prefix));
+        let load = u64::from(self.running + self.foreign_load + unseen) * 1000;
         load / u64::from(self.slots.max(1)) + self.reliability.failure_permille(now) * FAILURE_LOADS
     }
 }
--- a/components/coordination/src/slot/table.rs
+++ b/components/coordination/src/slot/table.rs
@@ -1,99 +1,99 @@
-//! Endpoints in places that they keep for as long as they are known.
+//! Endpoints by id, and by an index that stays the same for as long as they are known.
 
-use super::Slot;
+use super::Endpoint;
 use crate::prelude::*;
 use std::collections::BTreeMap;
 
-/// Where an endpoint stands in the table.
+/// Index of an endpoint in the table, reused after the endpoint was removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Place(pub(super) u32);
+pub(super) struct Index(pub(super) u32);
 
-impl Place {
-    pub(super) fn index(self) -> usize {
-        // CAST: a place is the index of a vector.
+impl Index {
+    pub(super) fn as_usize(self) -> usize {
+        // CAST: it is the index of a vector.
         self.0 as usize
     }
 }
 
-/// Endpoints by their number, and by their place without a search.
+/// Endpoints by id and by index.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Table {
-    places: BTreeMap<EndpointId, Place>,
-    slots: Vec<Option<Slot>>,
-    vacant: Vec<Place>,
+    indices: BTreeMap<EndpointId, Index>,
+    endpoints: Vec<Option<Endpoint>>,
+    vacant: Vec<Index>,
 }
 
 impl Table {
-    /// Where an endpoint stands.
-    pub(super) fn place(&self, id: EndpointId) -> Option<Place> {
-        self.places.get(&id).copied()
+    /// The index of an endpoint.
+    pub(super) fn index_of(&self, id: EndpointId) -> Option<Index> {
+        self.indices.get(&id).copied()
     }
 
-    /// The endpoint at a place.
-    pub(super) fn at(&self, place: Place) -> Option<&Slot> {
-        self.slots.get(place.index())?.as_ref()
+    /// The endpoint at an index.
+    pub(super) fn at(&self, index: Index) -> Option<&Endpoint> {
+        self.endpoints.get(index.as_usize())?.as_ref()
     }
 
-    /// The same, to change it.
-    pub(super) fn at_mut(&mut self, place: Place) -> Option<&mut Slot> {
-        self.slots.get_mut(place.index())?.as_mut()
+    /// The endpoint at an index, to change it.
+    pub(super) fn at_mut(&mut self, index: Index) -> Option<&mut Endpoint> {
+        self.endpoints.get_mut(index.as_usize())?.as_mut()
     }
 
-    /// An endpoint by its number.
-    pub(super) fn get(&self, id: EndpointId) -> Option<&Slot> {
-        self.at(self.place(id)?)
+    /// The endpoint with an id.
+    pub(super) fn get(&self, id: EndpointId) -> Option<&Endpoint> {
+        self.at(self.index_of(id)?)
     }
 
-    /// All endpoints, in the order of their numbers.
-    pub(super) fn iter(&self) -> impl Iterator<Item = (EndpointId, &Slot)> {
-        let places = self.places.iter();
-        places.filter_map(|(id, place)| Some((*id, self.at(*place)?)))
+    /// All endpoints, ordered by id.
+    pub(super) fn iter(&self) -> impl Iterator<Item = (EndpointId, &Endpoint)> {
+        let indices = self.indices.iter();
+        indices.filter_map(|(id, index)| Some((*id, self.at(*index)?)))
     }
 
-    /// All endpoints.
-    pub(super) fn values(&self) -> impl Iterator<Item = &Slot> {
-        self.slots.iter().flatten()
+    /// All endpoints, ordered by index.
+    pub(super) fn values(&self) -> impl Iterator<Item = &Endpoint> {
+        self.endpoints.iter().flatten()
     }
 
-    /// All endpoints, to change them.
-    pub(super) fn values_mut(&mut self) -> impl Iterator<Item = &mut Slot> {
-        self.slots.iter_mut().flatten()
+    /// All endpoints, ordered by index, to change them.
+    pub(super) fn values_mut(&mut self) -> impl Iterator<Item = &mut Endpoint> {
+        self.endpoints.iter_mut().flatten()
     }
 
-    /// The place of an endpoint, which `make` makes if it is new.
-    pub(super) fn place_or_insert<F>(&mut self, id: EndpointId, make: F) -> Place
+    /// The index of an endpoint, which is created by `make` if it is unknown.
+    pub(super) fn index_or_insert<F>(&mut self, id: EndpointId, make: F) -> Index
     where
-        F: FnOnce() -> Slot,
+        F: FnOnce() -> Endpoint,
     {
-        if let Some(place) = self.place(id) {
-            return place;
+        if let Some(index) = self.index_of(id) {
+            return index;
         }
-        let place = self.vacant.pop().unwrap_or_else(|| {
-            self.slots.push(None);
-            // CAST: endpoints are numbered by 32 bits.
-            Place((self.slots.len() - 1) as u32)
+        let index = self.vacant.pop().unwrap_or_else(|| {
+            self.endpoints.push(None);
+            // CAST: endpoint ids have 32 bits.
+            Index((self.endpoints.len() - 1) as u32)
         });
-        if let Some(slot) = self.slots.get_mut(place.index()) {
-            *slot = Some(make());
+        if let Some(endpoint) = self.endpoints.get_mut(index.as_usize()) {
+            *endpoint = Some(make());
         }
-        self.places.insert(id, place);
-        place
+        self.indices.insert(id, index);
+        index
     }
 
     /// Removes an endpoint.
-    pub(super) fn remove(&mut self, id: EndpointId) -> Option<(Place, Slot)> {
-        let place = self.places.remove(&id)?;
-        self.vacant.push(place);
-        let slot = self.slots.get_mut(place.index())?.take()?;
-        Some((place, slot))
+    pub(super) fn remove(&mut self, id: EndpointId) -> Option<(Index, Endpoint)> {
+        let index = self.indices.remove(&id)?;
+        self.vacant.push(index);
+        let endpoint = self.endpoints.get_mut(index.as_usize())?.take()?;
+        Some((index, endpoint))
     }
 
-    /// Endpoints that `keep` refuses.
-    pub(super) fn refused<F>(&self, keep: F) -> Vec<EndpointId>
+    /// Ids of the endpoints for which `keep` is false.
+    pub(super) fn rejected_by<F>(&self, keep: F) -> Vec<EndpointId>
     where
         F: Fn(EndpointId) -> bool,
     {
-        let ids = self.places.keys().copied();
+        let ids = self.indices.keys().copied();
         ids.filter(|id| !keep(*id)).collect()
     }
 }
