--- a/components/coordination/src/slot/cache.rs
+++ b/components/coordination/src/slot/cache.rs
@@ -200,7 +200,7 @@
 
     /// Number of parts at the start of the prompt that an engine has cached.
     pub(super) fn depth(&self, index: Index) -> usize {
-        let cached = (self.prefixes.iter()).take_while(|(h, _)| h.contains(index));
+        let cached = self.prefixes.iter().take_while(|(h, _)| h.contains(index));
         cached.count()
     }
 
--- a/components/coordination/src/slot/mod.rs
+++ b/components/coordination/src/slot/mod.rs
@@ -428,13 +428,13 @@
         match verdict {
             Some(Verdict::Fine) => endpoint.reliability.record(now, false),
             Some(Verdict::Failed | Verdict::Error) => endpoint.reliability.record(now, true),
-            Some(Verdict::Gone) | None => {}
+            Some(Verdict::Cancelled) | None => {}
         }
         match verdict {
             // An endpoint that answers with errors is alive: only its reliability suffers.
             Some(Verdict::Fine | Verdict::Error) => endpoint.health.record_success(),
             Some(Verdict::Failed) => endpoint.health.record_failure(now),
-            Some(Verdict::Gone) | None => Change::None,
+            Some(Verdict::Cancelled) | None => Change::None,
         }
     }
 
--- a/components/coordination/tests/cold.rs
+++ b/components/coordination/tests/cold.rs
@@ -8,19 +8,19 @@
 
 use arrivals::{arrival, grant};
 use asks::ask;
-use coordination::ask::{Grant, Hello, Seq, Verdict};
 use coordination::assignment::shards;
-use coordination::dispatcher::{Dispatcher, Effect, LOCAL_MS};
-use coordination::listing::Roster;
+use coordination::dispatcher::{Dispatcher, Effect, LOCAL_AFTER_MS};
+use coordination::failback::Failbacks;
+use coordination::listing::Registry;
+use coordination::messages::{Grant, Hello, Seq, Verdict};
 use coordination::prompt::Prompt;
-use coordination::returns::Returns;
 use coordination::scheduler::{self, Scheduler};
 use coordination::warmup::Pacer;
 use state::clock::Millis;
 use state::config::{Cold, Engine};
 use state::evacuation::Evacuation;
 use state::id::{EndpointId, Epoch, Version};
-use state::listing::Listed;
+use state::listing::Entry;
 use state::view::View;
 use std::collections::BTreeMap;
 use views::{add, assign, name, view, SERVICE};
@@ -235,7 +235,7 @@
 /// request in 50 ms each.
 fn shared_out(routers: &mut [Dispatcher], view: &View, to: u64) -> Vec<u64> {
     let mut moments = Vec::new();
-    for at in (LOCAL_MS..to).step_by(10) {
+    for at in (LOCAL_AFTER_MS..to).step_by(10) {
         let now = Millis(at);
         for router in routers.iter_mut() {
             let mut effects = Vec::new();
@@ -286,28 +286,28 @@
         version: Version(5),
         at: 1_000_000,
     };
-    let mut returns = Returns::default();
+    let mut returns = Failbacks::default();
     view.evacuations.insert(name("dc-2"), evacuation);
-    returns.follow(Millis(100), 1_000_000, &mut view);
+    returns.mark_cold(Millis(100), 1_000_000, &mut view);
     assert!(view.warm_at.is_empty());
     evacuation.is_in_force = false;
     evacuation.version = Version(6);
     view.evacuations.insert(name("dc-2"), evacuation);
-    returns.follow(Millis(200), 2_000_000, &mut view);
+    returns.mark_cold(Millis(200), 2_000_000, &mut view);
     assert_eq!(view.warm_at.get(&EndpointId(2)), Some(&Millis(3200)));
     assert_eq!(view.warm_at.get(&COLD), None);
     // One that has just started counts from its start; long after it, nothing does.
     let mut late = view.clone();
     late.warm_at.clear();
-    Returns::default().follow(Millis(50), 3_000_000, &mut late);
+    Failbacks::default().mark_cold(Millis(50), 3_000_000, &mut late);
     assert_eq!(late.warm_at.get(&EndpointId(2)), Some(&Millis(3050)));
     late.warm_at.clear();
-    Returns::default().follow(Millis(50), 60_000_000, &mut late);
+    Failbacks::default().mark_cold(Millis(50), 60_000_000, &mut late);
     assert!(late.warm_at.is_empty());
 }
 
-fn listed(text: &str, cold_ms: u32) -> Listed {
-    Listed {
+fn listed(text: &str, cold_ms: u32) -> Entry {
+    Entry {
         cold_ms,
         ..endpoints::listed(text, Some(1), false)
     }
@@ -318,20 +318,20 @@
 #[test]
 fn can_follow_cold_times_without_a_change_at_each_reading() {
     let id = listed("a", 0).id();
-    let mut roster = Roster::default();
-    assert!(roster.read(Millis(0), vec![listed("a", 3000)], 1));
-    assert_eq!(roster.warm_at().get(&id), Some(&Millis(3000)));
-    assert!(!roster.read(Millis(500), vec![listed("a", 2700)], 2));
-    assert_eq!(roster.told(Millis(1000)).endpoints[0].cold_ms, 2000);
-    assert!(roster.read(Millis(1000), vec![listed("a", 3000)], 3));
-    assert_eq!(roster.warm_at().get(&id), Some(&Millis(4000)));
-    let mut other = Roster::default();
-    assert!(other.take(Millis(70), roster.told(Millis(1000))));
+    let mut registry = Registry::default();
+    assert!(registry.apply_reading(Millis(0), vec![listed("a", 3000)], 1));
+    assert_eq!(registry.warm_at().get(&id), Some(&Millis(3000)));
+    assert!(!registry.apply_reading(Millis(500), vec![listed("a", 2700)], 2));
+    assert_eq!(registry.export(Millis(1000)).endpoints[0].cold_ms, 2000);
+    assert!(registry.apply_reading(Millis(1000), vec![listed("a", 3000)], 3));
+    assert_eq!(registry.warm_at().get(&id), Some(&Millis(4000)));
+    let mut other = Registry::default();
+    assert!(other.apply_listing(Millis(70), registry.export(Millis(1000))));
     assert_eq!(other.warm_at().get(&id), Some(&Millis(3070)));
-    assert!(!other.take(Millis(90), roster.told(Millis(1020))));
-    assert!(!roster.read(Millis(5000), vec![listed("a", 0)], 4));
-    assert!(roster.warm_at().is_empty());
-    assert!(roster.read(Millis(6000), vec![listed("a", 3000)], 5));
+    assert!(!other.apply_listing(Millis(90), registry.export(Millis(1020))));
+    assert!(!registry.apply_reading(Millis(5000), vec![listed("a", 0)], 4));
+    assert!(registry.warm_at().is_empty());
+    assert!(registry.apply_reading(Millis(6000), vec![listed("a", 3000)], 5));
 }
 
 /// Guards against a ramp that lets more through after a pause.
--- a/components/coordination/tests/decisions.rs
+++ b/components/coordination/tests/decisions.rs
@@ -1,23 +1,23 @@
 //! The smaller decisions, one by one.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
-use coordination::ask::{Ask, Class, Held, Hello, Known, Seq, Served, Verdict};
 use coordination::health::{Change, Health, EJECT_FAILURES, EJECT_MIN_MS};
 use coordination::ledger::{virtual_cost, Ledger};
 use coordination::limit::Bucket;
+use coordination::messages::{Ask, Class, Held, Hello, Seq, Served, Usage, Verdict};
 use coordination::platform::{Change as ListChange, Entry, State, Watch};
 use coordination::prompt::Prompt;
-use coordination::retry::{after, Bounds, Budget, Next, Reach, Try};
-use coordination::rule::{decide, idempotent, shadowed, Request};
+use coordination::retry::{decide, Action, Bounds, Budget, Failure, Reach};
+use coordination::rule::{first_match, is_idempotent, shadowed, Request};
 use coordination::scheduler::{Effect, Effects, Scheduler, Session, GATHER_MS, ORPHAN_MS};
 use coordination::slot::{Criteria, Reservations, Slots};
-use coordination::tree::{Confirm, Tree, Welcome};
+use coordination::tree::{Attachment, Confirmation, Tree};
 use rstest::rstest;
 use state::clock::Millis;
 use state::config::{Cost, Endpoint, Rule, Service, Then, When};
 use state::id::{CustomerId, EndpointId, Epoch, Name, Version};
 use state::route::Routes;
-use state::view::{Place, View};
+use state::view::{Node, View};
 
 const A: CustomerId = CustomerId(1);
 const B: CustomerId = CustomerId(2);
@@ -152,39 +152,39 @@
 }
 
 #[rstest]
-#[case::nothing_sent(Reach::Nothing, false, 0, Next::Again)]
-#[case::nothing_sent_no_retries(Reach::Nothing, false, 2, Next::NotRun)]
-#[case::sent_once(Reach::Sent, false, 0, Next::Unknown)]
-#[case::sent_idempotent(Reach::Sent, true, 0, Next::Again)]
-#[case::sent_too_often(Reach::Sent, true, 2, Next::Unknown)]
-#[case::earlier_try_was_sent(Reach::Nothing, true, 2, Next::Unknown)]
-#[case::answer_has_begun(Reach::Answering, true, 0, Next::Unknown)]
+#[case::nothing_sent(Reach::Nothing, false, 0, Action::Retry)]
+#[case::nothing_sent_no_retries(Reach::Nothing, false, 2, Action::NotRun)]
+#[case::sent_once(Reach::Sent, false, 0, Action::Unknown)]
+#[case::sent_idempotent(Reach::Sent, true, 0, Action::Retry)]
+#[case::sent_too_often(Reach::Sent, true, 2, Action::Unknown)]
+#[case::earlier_try_was_sent(Reach::Nothing, true, 2, Action::Unknown)]
+#[case::answer_has_begun(Reach::Answering, true, 0, Action::Unknown)]
 fn can_decide_what_follows_a_failed_try(
     #[case] reach: Reach,
     #[case] idempotent: bool,
     #[case] retries: u32,
-    #[case] next: Next,
+    #[case] next: Action,
 ) {
-    let attempt = Try {
+    let attempt = Failure {
         reach,
         idempotent,
         retries,
         retries_max: 2,
         deadline: Millis(100),
     };
-    assert_eq!(after(attempt, Millis(0), &mut earned()), next);
+    assert_eq!(decide(attempt, Millis(0), &mut earned()), next);
 }
 
 #[test]
 fn can_give_up_at_once_past_the_deadline() {
-    let attempt = Try {
+    let attempt = Failure {
         reach: Reach::Nothing,
         idempotent: true,
         retries: 0,
         retries_max: 2,
         deadline: Millis(100),
     };
-    assert_eq!(after(attempt, Millis(100), &mut earned()), Next::NotRun);
+    assert_eq!(decide(attempt, Millis(100), &mut earned()), Action::NotRun);
 }
 
 #[test]
@@ -299,7 +299,7 @@
             data_centre: &data_centre,
             size,
         };
-        decide(&rules, &Routes::from(&rules[..]), &request).map(|(place, _)| place)
+        first_match(&rules, &Routes::from(&rules[..]), &request).map(|(place, _)| place)
     };
     assert_eq!(decided("/a/b/c", 0), Some(0));
     assert_eq!(decided("/a/c", 0), Some(1));
@@ -331,7 +331,7 @@
         engine: None,
         cold: None,
     };
-    assert_eq!(idempotent(rule, &service, method), twice);
+    assert_eq!(is_idempotent(rule, &service, method), twice);
 }
 
 fn ask(seq: u64, customer: CustomerId, concurrency: u32, rate: u32) -> Ask {
@@ -427,13 +427,13 @@
     // Symptom: a customer that is behind by right is set equal to the others.
     // Sequence: a new scheduler hears first of the customer that is ahead.
     // Cause: the one that comes later is lifted to whoever came first.
-    let known = |customer, level, spent| Known {
+    let known = |customer, level, spent| Usage {
         customer,
         level,
         spent,
     };
     let remembering = |known, floor| Hello {
-        known: vec![known],
+        usage: vec![known],
         floor,
         ..Hello::default()
     };
@@ -468,8 +468,8 @@
     assert_eq!(granted(&scheduler.ask(now, reborn, ask(1, A, 0, 0))), [1]);
 }
 
-fn place(n: usize) -> Place {
-    Place {
+fn place(n: usize) -> Node {
+    Node {
         vm: name(&format!("r{n}")),
         address: "127.0.0.1:7001".parse().unwrap(),
     }
@@ -483,8 +483,8 @@
     // sends them on.
     // Cause: it named the same other one to all; that one had to send the whole
     // configuration to every router.
-    let roots: Vec<Place> = ["c1", "c2", "c3"]
-        .map(|vm| Place {
+    let roots: Vec<Node> = ["c1", "c2", "c3"]
+        .map(|vm| Node {
             vm: name(vm),
             address: "127.0.0.1:7001".parse().unwrap(),
         })
@@ -492,11 +492,11 @@
     let mut tree = Tree::new(8);
     let mut sent: std::collections::BTreeMap<Name, u32> = std::collections::BTreeMap::new();
     for n in 0..8 {
-        let to = tree.send_away(&roots, &name("c1"), &name(&format!("r{n}")));
+        let to = tree.redirect(&roots, &name("c1"), &name(&format!("r{n}")));
         *sent.entry(to.unwrap().vm).or_default() += 1;
     }
     assert_eq!(sent.into_values().collect::<Vec<_>>(), [4, 4]);
-    assert_eq!(tree.send_away(&roots[..1], &name("c1"), &name("r1")), None);
+    assert_eq!(tree.redirect(&roots[..1], &name("c1"), &name("r1")), None);
 }
 
 #[test]
@@ -506,27 +506,27 @@
     // step and asks its parent again.
     // Cause: a parent that takes it for a new child, while the child tells only
     // what changes.
-    let place = |n: u8| Place {
+    let place = |n: u8| Node {
         vm: name(&format!("r{n}")),
         address: format!("127.0.0.{n}:1").parse().unwrap(),
     };
     let mut tree = Tree::new(2);
-    tree.welcome(place(1), &name("dc-1"), Version(4));
-    let confirm = Confirm {
+    tree.attach(place(1), &name("dc-1"), Version(4));
+    let confirm = Confirmation {
         version: Version(5),
         routers: 3,
         slowest: [name("r1")].into_iter().collect(),
     };
     tree.confirm(&name("r1"), confirm.clone());
     assert_eq!(
-        tree.welcome(place(1), &name("dc-1"), Version(4)),
-        Welcome::Child
+        tree.attach(place(1), &name("dc-1"), Version(4)),
+        Attachment::Child
     );
-    assert_eq!(tree.total(None), confirm);
+    assert_eq!(tree.aggregate(None), confirm);
     // One whose link was lost is a new child.
-    tree.lost(&name("r1"));
-    tree.welcome(place(1), &name("dc-1"), Version(4));
-    assert_eq!(tree.total(None).routers, 1);
+    tree.detach(&name("r1"));
+    tree.attach(place(1), &name("dc-1"), Version(4));
+    assert_eq!(tree.aggregate(None).routers, 1);
 }
 
 #[test]
@@ -536,9 +536,9 @@
     for n in 1..=340 {
         let mut at = 0;
         loop {
-            match nodes[at].welcome(place(n), &name("dc-1"), Version(1)) {
-                Welcome::Child => break,
-                Welcome::Elsewhere(next) => {
+            match nodes[at].attach(place(n), &name("dc-1"), Version(1)) {
+                Attachment::Child => break,
+                Attachment::Redirect(next) => {
                     at = next.vm.as_str()[1..].parse().unwrap();
                 }
             }
@@ -560,11 +560,11 @@
     for n in 1..=300_u16 {
         let mut at = 0;
         let of = centre_of(usize::from(n));
-        let place = Place {
+        let place = Node {
             vm: name(&format!("r{n}")),
             address: "127.0.0.1:1".parse().unwrap(),
         };
-        while let Welcome::Elsewhere(next) = nodes[at].welcome(place.clone(), of, Version(1)) {
+        while let Attachment::Redirect(next) = nodes[at].attach(place.clone(), of, Version(1)) {
             at = next.vm.as_str()[1..].parse().unwrap();
         }
         crossings += usize::from(at == 0 || centre_of(at) != of);
@@ -579,19 +579,19 @@
 #[test]
 fn can_tell_operators_which_routers_lag() {
     let mut tree = Tree::new(4);
-    tree.welcome(place(1), &name("dc-1"), Version(5));
-    tree.welcome(place(2), &name("dc-1"), Version(7));
+    tree.attach(place(1), &name("dc-1"), Version(5));
+    tree.attach(place(2), &name("dc-1"), Version(7));
     let own = name("c1");
-    let total = tree.total(Some((&own, Version(7))));
+    let total = tree.aggregate(Some((&own, Version(7))));
     assert_eq!((total.version, total.routers), (Version(5), 3));
     assert_eq!(total.slowest.to_vec(), [name("r1")]);
-    let confirm = Confirm {
+    let confirm = Confirmation {
         version: Version(7),
         routers: 4,
         slowest: Default::default(),
     };
     tree.confirm(&name("r1"), confirm);
-    let total = tree.total(Some((&own, Version(7))));
+    let total = tree.aggregate(Some((&own, Version(7))));
     assert_eq!((total.version, total.routers), (Version(7), 6));
 }
 
@@ -649,7 +649,7 @@
             data_centre: name("dc"),
             region: name("main"),
             slots: 1,
-            lead: 0,
+            prefetch: 0,
         };
         view.config
             .endpoints
@@ -672,16 +672,19 @@
     let e1 = EndpointId(1);
     assert_eq!(
         watch.compare(&view, &leaving).to_vec(),
-        [ListChange::Leaves(e1)]
+        [ListChange::Leaving(e1)]
     );
     // It says so until it is in force, and once it is, no more.
     assert_eq!(
         watch.compare(&view, &leaving).to_vec(),
-        [ListChange::Leaves(e1)]
+        [ListChange::Leaving(e1)]
     );
     view.leaving.insert(e1);
     assert!(watch.compare(&view, &leaving).is_empty());
-    assert_eq!(watch.compare(&view, &list).to_vec(), [ListChange::Back(e1)]);
+    assert_eq!(
+        watch.compare(&view, &list).to_vec(),
+        [ListChange::Returned(e1)]
+    );
 }
 
 #[test]
@@ -707,7 +710,7 @@
     watch.compare(&view, &list);
     assert!(watch.compare(&view, &list[..3]).is_empty());
     let words = watch.compare(&view, &list[..3]);
-    assert_eq!(words.to_vec(), [ListChange::Leaves(EndpointId(4))]);
+    assert_eq!(words.to_vec(), [ListChange::Leaving(EndpointId(4))]);
 }
 
 #[test]
@@ -749,14 +752,14 @@
 /// has heard that the first one was taken.
 #[test]
 fn can_count_what_a_router_spent_once_through_two_hellos() {
-    let known = |spent| Known {
+    let known = |spent| Usage {
         customer: A,
         level: 0,
         spent,
     };
-    let hello = |telling, spent| Hello {
-        known: vec![known(spent)],
-        telling,
+    let hello = |usage_id, spent| Hello {
+        usage: vec![known(spent)],
+        usage_id,
         ..Hello::default()
     };
     let mut scheduler = Scheduler::new(Epoch(2), Millis(0));
--- a/components/coordination/tests/fleet/mod.rs
+++ b/components/coordination/tests/fleet/mod.rs
@@ -6,10 +6,10 @@
 
 mod naive;
 
-use coordination::ask::{Class, Grant, Report, Verdict};
-use coordination::dispatcher::{Arrival, Bounds, Dispatcher, Effect, Handle, Home};
-use coordination::homes::Homes;
+use coordination::dispatcher::{Arrival, Bounds, Dispatcher, Effect, Handle, Location};
+use coordination::messages::{Class, Grant, Report, Verdict};
 use coordination::prompt::Prompt;
+use coordination::regions::Regions;
 use coordination::scheduler::{Effect as Given, Scheduler, Session};
 use coordination::slot::Strategy;
 use naive::Naive;
@@ -18,7 +18,7 @@
 use state::clock::Millis;
 use state::config::{Cost, Endpoint, Service};
 use state::id::{CustomerId, EndpointId, Epoch, Name, ServiceId};
-use state::view::{Assignment, Change, Place, Shard, Step, View};
+use state::view::{Assignment, Change, Node, Shard, Step, View};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 
@@ -330,7 +330,7 @@
             aim: Millis(u64::MAX),
             prompt: Prompt::default(),
             bytes: 0,
-            homes: Homes::default(),
+            regions: Regions::default(),
             deadline: Millis(u64::MAX),
         };
         let now = self.now();
@@ -624,7 +624,7 @@
             version: state::id::Version(self.view.version.0 + 1),
             change: Change::Assignment(assignment(self.scheduler.epoch())),
         };
-        self.view.take(&step);
+        self.view.apply_step(&step);
         for n in 0..self.routers.len() {
             let effects = self.routers[n].dispatcher.follow(now, &self.view);
             self.act(n, effects);
@@ -636,7 +636,7 @@
 
 fn size(report: &Report) -> u64 {
     match report {
-        Report::Hello(hello) => 12 + 12 * hello.held.len() as u64 + 8 * hello.known.len() as u64,
+        Report::Hello(hello) => 12 + 12 * hello.held.len() as u64 + 8 * hello.usage.len() as u64,
         Report::Ask(_) => 14,
         Report::Withdraw(_) | Report::Return(_) => 3,
         Report::Progress(..) | Report::Began(..) => 5,
@@ -653,7 +653,7 @@
             region: Name::try_from("main").unwrap(),
             cell: None,
         },
-        place: Place {
+        node: Node {
             vm: Name::try_from("s").unwrap(),
             address: "127.0.0.1:7001".parse().unwrap(),
         },
@@ -684,7 +684,7 @@
             data_centre: name("dc"),
             region: name("main"),
             slots: setup.batch,
-            lead: LEAD,
+            prefetch: LEAD,
         };
         view.config.endpoints.insert(EndpointId(n), endpoint);
     }
@@ -705,7 +705,7 @@
         requests: 100_000,
         bytes: u64::MAX,
     };
-    let home = Home {
+    let home = Location {
         region: Name::try_from("main").unwrap(),
         data_centre: Name::try_from("dc").unwrap(),
         incarnation: (n as u64) << 32 | incarnation,
--- a/components/coordination/tests/placement.rs
+++ b/components/coordination/tests/placement.rs
@@ -3,8 +3,8 @@
 
 mod scan;
 
-use coordination::ask::Verdict;
 use coordination::engine::Prefill;
+use coordination::messages::Verdict;
 use coordination::prompt::{Part, Prompt};
 use coordination::slot::{Criteria, Reservations, Slots};
 use rand::{Rng, SeedableRng};
@@ -168,7 +168,7 @@
         let verdict = match self.rng.random_range(0..20) {
             0 => Verdict::Failed,
             1 => Verdict::Error,
-            2 => Verdict::Gone,
+            2 => Verdict::Cancelled,
             _ => Verdict::Fine,
         };
         self.slots.release(self.now, id, Some(verdict));
--- a/components/node/src/front/relay.rs
+++ b/components/node/src/frontend/relay.rs
@@ -6,15 +6,15 @@
 use super::pool::{Connection, Key, Pool};
 use crate::input::Input;
 use crate::journal::Journal;
-use crate::vitals::Lateness;
+use crate::monitor::Lateness;
 use bytes::Bytes;
-use coordination::ask::Verdict;
 use coordination::dispatcher::Handle;
+use coordination::messages::Verdict;
 use coordination::prompt::Prompt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::StatusCode;
 use state::config::{Cost, Engine};
-use state::event::{Event, Step};
+use state::event::{Event, Kind};
 use state::id::RequestId;
 use std::future::Future;
 use std::pin::Pin;
@@ -53,8 +53,8 @@
             return;
         }
         let step = match self.verdict {
-            Verdict::Gone => Step::CallerGone,
-            Verdict::Fine | Verdict::Failed | Verdict::Error => Step::Ended,
+            Verdict::Cancelled => Kind::CallerGone,
+            Verdict::Fine | Verdict::Failed | Verdict::Error => Kind::Ended,
         };
         self.journal.note(Event::new(step).request(self.id));
         let done = Input::Done(self.handle, self.cost.units(), self.verdict);
@@ -192,7 +192,7 @@
         if !std::mem::replace(&mut self.has_begun, true) {
             let took_ms = u32::try_from(self.slot.cost.began.elapsed().as_millis()).ok();
             let took_ms = took_ms.filter(|_| !self.lateness.is_late());
-            let began = Input::Began(self.slot.handle, took_ms);
+            let began = Input::FirstByte(self.slot.handle, took_ms);
             // The reactor ends only together with this process.
             let _ = self.slot.reactor.send(began);
         }
--- a/components/node/src/quarantine.rs
+++ b/components/node/src/quarantine.rs
@@ -7,7 +7,7 @@
 use state::fingerprint::Fingerprint;
 use state::id::Name;
 use state::line::Line;
-use state::suspect::{relieved, Clearance, Crash, Evidence, Standing, Standings, Suspects};
+use state::suspect::{downgraded, Completion, Crash, Evidence, Status, Statuses, Suspects};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use tokio::sync::{oneshot, watch};
@@ -25,19 +25,19 @@
 
 /// What the callers' side is to do with requests, by the fleet and by this router alone.
 #[derive(Debug, Default)]
-pub(crate) struct Verdicts {
-    fleet: Standings,
-    own: Standings,
+pub(crate) struct Suspicions {
+    fleet: Statuses,
+    own: Statuses,
 }
 
-impl Verdicts {
+impl Suspicions {
     /// Whether every request is to be served like any other.
     pub(crate) fn is_empty(&self) -> bool {
         self.fleet.is_empty() && self.own.is_empty()
     }
 
     /// Whether a whole answer to this request is of interest.
-    pub(crate) fn knows(&self, fingerprint: &Fingerprint) -> bool {
+    pub(crate) fn contains(&self, fingerprint: &Fingerprint) -> bool {
         self.fleet.contains_key(fingerprint) || self.own.contains_key(fingerprint)
     }
 
@@ -45,7 +45,7 @@
     pub(crate) fn is_quarantined(&self, fingerprint: &Fingerprint) -> bool {
         let of = [&self.fleet, &self.own];
         let mut found = of.iter().filter_map(|all| all.get(fingerprint));
-        found.any(|standing| *standing == Standing::Quarantined)
+        found.any(|standing| *standing == Status::Quarantined)
     }
 }
 
@@ -66,21 +66,21 @@
 /// stops what it has itself seen crash endpoints.
 pub(crate) struct Quarantine {
     own: Suspects,
-    fleet: Standings,
+    fleet: Statuses,
     /// What is to be reported, also of those that this process feeds.
     pending: Evidence,
     report_at: Millis,
     report: Option<oneshot::Receiver<Reply>>,
     expire_at: Millis,
-    publish: watch::Sender<Arc<Verdicts>>,
+    publish: watch::Sender<Arc<Suspicions>>,
 }
 
 impl Quarantine {
     /// Nothing is suspected yet.
-    pub(crate) fn new(publish: watch::Sender<Arc<Verdicts>>) -> Self {
+    pub(crate) fn new(publish: watch::Sender<Arc<Suspicions>>) -> Self {
         Quarantine {
             own: Suspects::default(),
-            fleet: Standings::new(),
+            fleet: Statuses::new(),
             pending: Evidence::default(),
             report_at: Millis(0),
             report: None,
@@ -91,7 +91,7 @@
 
     /// An endpoint broke off a request.
     pub(crate) fn crashed(&mut self, crash: Crash) {
-        self.own.crashed(&crash);
+        self.own.record_crash(&crash);
         let crashes = vec![crash];
         self.relay(Evidence {
             crashes,
@@ -101,9 +101,9 @@
     }
 
     /// An endpoint has answered a suspected request whole.
-    pub(crate) fn cleared(&mut self, clearance: Clearance) {
-        self.own.cleared(&clearance);
-        let is_other = |c: &Clearance| c.fingerprint != clearance.fingerprint;
+    pub(crate) fn cleared(&mut self, clearance: Completion) {
+        self.own.record_completion(&clearance);
+        let is_other = |c: &Completion| c.fingerprint != clearance.fingerprint;
         self.pending.cleared.retain(is_other);
         let cleared = vec![clearance];
         self.relay(Evidence {
@@ -119,11 +119,11 @@
     }
 
     /// Follows what the control VMs have decided.
-    pub(crate) fn follow(&mut self, fleet: &Standings) {
+    pub(crate) fn follow(&mut self, fleet: &Statuses) {
         if *fleet == self.fleet {
             return;
         }
-        for fingerprint in relieved(&self.fleet, fleet) {
+        for fingerprint in downgraded(&self.fleet, fleet) {
             self.own.forget(&fingerprint);
         }
         self.fleet.clone_from(fleet);
@@ -163,7 +163,7 @@
         let (sender, receiver) = oneshot::channel();
         self.report = Some(receiver);
         let evidence = self.pending.take(REPORT_MAX);
-        queries.ask(now, hub, Query::Suspects(evidence), sender);
+        queries.ask(now, hub, Query::Evidence(evidence), sender);
     }
 
     /// Fingerprints of requests that are refused here.
@@ -175,9 +175,9 @@
     }
 
     fn publish(&self) {
-        let verdicts = Verdicts {
+        let verdicts = Suspicions {
             fleet: self.fleet.clone(),
-            own: self.own.standings(1),
+            own: self.own.statuses(1),
         };
         self.publish.send_if_modified(|published| {
             let is_same = published.fleet == verdicts.fleet && published.own == verdicts.own;
@@ -191,7 +191,7 @@
 }
 
 /// Logs which requests are refused from now on, and which no longer.
-fn tell(old: &Verdicts, new: &Verdicts) {
+fn tell(old: &Suspicions, new: &Suspicions) {
     let known = new.fleet.keys().chain(new.own.keys());
     let begun = known.filter(|f| new.is_quarantined(f) && !old.is_quarantined(f));
     for fingerprint in begun {
--- a/components/node/src/reactor/mod.rs
+++ b/components/node/src/reactor/mod.rs
@@ -12,24 +12,24 @@
 use crate::inventory::Unknown;
 use crate::journal::Journal;
 use crate::metric::Metrics;
-use crate::quarantine::{Quarantine, Up, Verdicts};
+use crate::quarantine::{Quarantine, Suspicions, Up};
 use crate::query::Queries;
 use crate::schedulers::Schedulers;
 use crate::shared::Published;
 use coordination::backoff::Backoff;
 use coordination::candidacy::Candidacy;
-use coordination::cell::{Catalogue, Cells};
-use coordination::dispatcher::{Bounds, Dispatcher, Effect, Effects, Handle, Home};
-use coordination::listing::Roster;
+use coordination::cell::{Catalogue, Poller};
+use coordination::dispatcher::{Bounds, Dispatcher, Effect, Effects, Handle, Location};
+use coordination::failback::Failbacks;
+use coordination::listing::Registry;
 use coordination::recent::Recent;
-use coordination::returns::Returns;
 use protocol::wire::{Message, Reply};
 use state::clock::Millis;
 use state::config::{Endpoint, Index};
-use state::event::{Event, Step};
+use state::event::{Event, Kind};
 use state::id::{EndpointId, Name, Version};
 use state::line::Line;
-use state::view::{Assignment, Place, View};
+use state::view::{Assignment, Node, View};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
@@ -57,12 +57,12 @@
     /// Metrics.
     pub(crate) metrics: Metrics,
     /// Control VMs that the settings name.
-    pub(crate) seeds: Vec<Place>,
+    pub(crate) seeds: Vec<Node>,
     /// Time between two readings of the platform's list of endpoints, in
     /// milliseconds.
     pub(crate) listing_ms: u64,
     /// Where this VM stands.
-    pub(crate) home: Home,
+    pub(crate) home: Location,
     /// Bounds of the dispatcher.
     pub(crate) bounds: Bounds,
     /// Children to feed.
@@ -80,7 +80,7 @@
     /// Where to publish.
     pub(crate) publish: watch::Sender<Published>,
     /// Where to publish what is done with requests that may crash endpoints.
-    pub(crate) verdicts: watch::Sender<Arc<Verdicts>>,
+    pub(crate) verdicts: watch::Sender<Arc<Suspicions>>,
 }
 
 /// The reactor.
@@ -92,7 +92,7 @@
     /// That and the platform's endpoints, with its look-ups: what decides.
     live: Arc<View>,
     index: Arc<Index>,
-    roster: Roster,
+    registry: Registry,
     /// When another process told of the list last.
     listing_heard: Option<Millis>,
     /// Number of the counts that children were told last.
@@ -100,7 +100,7 @@
     /// Endpoints by shard, for schedulers that ask.
     catalogue: Catalogue,
     /// Endpoints of the shards that are scheduled here.
-    cells: Cells,
+    cells: Poller,
     /// Endpoints that this router was granted of late.
     recent: Recent,
     /// Whether `live` has some of these.
@@ -108,9 +108,9 @@
     /// Shards that have endpoints.
     shards: usize,
     /// Data centres whose evacuation has ended.
-    returns: Returns,
+    returns: Failbacks,
     /// Control VMs as the control role of this process knows them.
-    members: Vec<Place>,
+    members: Vec<Node>,
     leads: bool,
     /// Whether the control role here follows a living leader.
     is_led: bool,
@@ -181,15 +181,15 @@
             view: View::default(),
             live: Arc::default(),
             index: Arc::default(),
-            roster: Roster::default(),
+            registry: Registry::default(),
             listing_heard: None,
             told_census: 0,
             catalogue: Catalogue::new(hello.incarnation),
-            cells: Cells::default(),
+            cells: Poller::default(),
             recent: Recent::default(),
             is_recent_used: false,
             shards: 0,
-            returns: Returns::default(),
+            returns: Failbacks::default(),
             members: Vec::new(),
             leads: false,
             is_led: false,
@@ -273,18 +273,18 @@
                     self.leave(now, handle);
                 }
             }
-            Input::Leave(handle) => self.leave(now, handle),
-            Input::Again(handle, verdict, reply) => {
+            Input::Cancel(handle) => self.leave(now, handle),
+            Input::Requeue(handle, verdict, reply) => {
                 self.parts.metrics.retries.inc();
                 let (sender, decided) = oneshot::channel();
                 self.decisions.insert(handle, sender);
-                let effects = self.dispatcher.again(now, handle, verdict);
+                let effects = self.dispatcher.requeue(now, handle, verdict);
                 self.act(now, effects);
                 if reply.send(decided).is_err() {
                     self.leave(now, handle);
                 }
             }
-            Input::Began(handle, took_ms) => {
+            Input::FirstByte(handle, took_ms) => {
                 let effects = self.dispatcher.began(now, handle, took_ms);
                 self.act(now, effects);
             }
@@ -359,7 +359,7 @@
 
     fn leave(&mut self, now: Millis, handle: Handle) {
         self.decisions.remove(&handle);
-        let effects = self.dispatcher.leave(now, handle);
+        let effects = self.dispatcher.cancel(now, handle);
         self.act(now, effects);
     }
 
@@ -367,7 +367,7 @@
         match event {
             link::Event::Up(hello) => {
                 let vm = &hello.place.vm;
-                self.parts.journal.note(Event::new(Step::LinkUp).peer(vm));
+                self.parts.journal.note(Event::new(Kind::LinkUp).peer(vm));
                 self.dissemination
                     .link_up(&self.parts.hub, vm, self.view.version);
                 self.to_control(crate::control::Input::Up(hello.clone()));
@@ -377,7 +377,7 @@
             link::Event::Down(vm) => {
                 self.parts
                     .journal
-                    .note(Event::new(Step::LinkDown).peer(&vm));
+                    .note(Event::new(Kind::LinkDown).peer(&vm));
                 self.dissemination.link_down(now, &vm);
                 self.schedulers.link_down(now, &vm);
                 self.dispatcher.link_down(now, &vm);
@@ -391,7 +391,7 @@
     fn message(&mut self, now: Millis, vm: Name, message: Message) {
         match message {
             Message::Hello(_) => {}
-            Message::Agree(_) | Message::Beat { .. } | Message::Query(..) => {
+            Message::Consensus(_) | Message::Heartbeat { .. } | Message::Query(..) => {
                 self.to_control(crate::control::Input::Message(vm, message));
             }
             Message::Reply(id, reply) => self.queries.reply(now, &self.parts.hub, id, reply),
@@ -409,21 +409,21 @@
                 }
             }
             Message::Unsubscribe => self.dissemination.unsubscribe(&vm),
-            Message::Elsewhere(place) => {
+            Message::Redirect(place) => {
                 self.dissemination
                     .elsewhere(now, &self.parts.hub, &vm, place);
             }
-            Message::Pulse(head) => {
+            Message::VersionProof(head) => {
                 self.dissemination.fed(now, &vm);
                 self.dissemination
                     .pulsed(now, &self.parts.hub, &vm, &self.view, head);
                 self.dirty = true;
             }
-            Message::Steps(steps) => {
+            Message::Updates(steps) => {
                 self.dissemination.fed(now, &vm);
                 self.steps(now, Some(&vm), &steps);
             }
-            Message::Whole(view) => {
+            Message::FullView(view) => {
                 self.dissemination.fed(now, &vm);
                 self.whole(now, *view);
             }
@@ -449,29 +449,33 @@
                     self.act(now, effects);
                 }
             }
-            Message::Kept(kept) => self.schedulers.hear_kept(&self.live, &vm, &kept),
+            Message::CachedPrompts(kept) => self.schedulers.hear_kept(&self.live, &vm, &kept),
             Message::Served(served) => self.schedulers.hear_served(&self.live, &served),
             Message::Unassigned(epoch) => self.dispatcher.unassigned(now, epoch),
             Message::Listing(_)
             | Message::ListingChange(_)
-            | Message::ListingKept(_)
+            | Message::ListingUnchanged(_)
             | Message::Census(_) => self.take_listing(now, &vm, message),
-            Message::ListingWanted => self.send_listing(now, &vm),
-            Message::CellWanted(shard, known) => self.tell_cell(now, &vm, shard, known),
+            Message::ListingRequest => self.send_listing(now, &vm),
+            Message::CellRequest(shard, known) => self.tell_cell(now, &vm, shard, known),
             Message::Cell(shard, answer) => {
-                if self.cells.take(now, &shard, *answer) {
+                if self.cells.apply_answer(now, &shard, *answer) {
                     self.follow_live(now);
                 }
             }
-            Message::Introductions(all) => {
+            Message::EndpointDetails(all) => {
                 for (id, endpoint) in all {
-                    self.recent.note(now, id, endpoint);
+                    self.recent.insert(now, id, endpoint);
                 }
             }
-            Message::Subtree(routers) => self.dissemination.take_subtree(&vm, routers),
-            Message::Size(routers) => self.dissemination.take_size(&self.parts.hub, routers),
-            Message::Check(sent) => self.check(now, &vm, sent),
-            Message::Checked { sent, age_ms, head } => {
+            Message::SubtreeSize(routers) => self.dissemination.take_subtree(&vm, routers),
+            Message::FleetSize(routers) => self.dissemination.take_size(&self.parts.hub, routers),
+            Message::ProofRequest(sent) => self.check(now, &vm, sent),
+            Message::ProofAge {
+                sent,
+                age_ms,
+                version: head,
+            } => {
                 let at = Millis(sent.saturating_sub(age_ms));
                 self.dissemination.checked(&vm, at, head, self.view.version);
                 self.dirty = true;
@@ -510,7 +514,7 @@
         self.index = Arc::new(Index::from(&self.view.config));
         self.parts
             .journal
-            .note(Event::new(Step::VersionInForce).version(version));
+            .note(Event::new(Kind::VersionInForce).version(version));
         tracing::info!(
             event = Line::VersionInForce.as_str(),
             version = version.0,
@@ -533,16 +537,16 @@
     /// those of the shards that are scheduled here and, while a scheduler is lost, those that
     /// it has granted of late.
     fn live_view(&mut self, now: Millis) -> View {
-        let Some(census) = self.roster.census() else {
-            let mut live = self.view.with_listing(self.roster.listing());
-            live.warm_at = self.roster.warm_at().clone();
+        let Some(census) = self.registry.census() else {
+            let mut live = self.view.with_listing(self.registry.listing());
+            live.warm_at = self.registry.warm_at().clone();
             return live;
         };
         let mut live = self.view.clone();
         live.set_census(census);
-        for roster in self.cells.rosters() {
-            live.add_listing(roster.listing());
-            live.warm_at.extend(roster.warm_at());
+        for registry in self.cells.registries() {
+            live.add_listing(registry.listing());
+            live.warm_at.extend(registry.warm_at());
         }
         self.is_recent_used = self.dispatcher.shards().any(|(_, is_up)| !is_up);
         if self.is_recent_used {
@@ -566,19 +570,19 @@
     /// Follows a change of the view or of the platform's endpoints.
     fn follow_live(&mut self, now: Millis) {
         let mut live = self.live_view(now);
-        self.returns.follow(now, wall_micros(), &mut live);
+        self.returns.mark_cold(now, wall_micros(), &mut live);
         self.live = Arc::new(live);
         self.schedulers.follow(now, &self.live, &mut self.batch);
         let effects = self.dispatcher.follow(now, &self.live);
         self.act(now, effects);
         if self.parts.callers {
-            self.dispatcher.open_near(now, &self.live);
+            self.dispatcher.open_nearby(now, &self.live);
         }
         let shards = coordination::assignment::shards(&self.live);
         self.shards = shards.len();
         let mine = self.live.assignments.iter();
-        let mine = mine.filter(|a| a.place.vm == self.me && shards.contains(&a.shard));
-        self.cells.follow(mine.map(|a| a.shard.clone()));
+        let mine = mine.filter(|a| a.node.vm == self.me && shards.contains(&a.shard));
+        self.cells.set_shards(mine.map(|a| a.shard.clone()));
         let is_assigned = |shard| self.live.assignment(shard).is_some();
         self.is_unassigned = !shards.iter().all(is_assigned);
         self.to_control(crate::control::Input::Shards(shards));
@@ -591,7 +595,7 @@
                 event = Line::Stopping.as_str(),
                 version = self.view.version.0
             );
-            self.parts.journal.note(Event::new(Step::Stopping));
+            self.parts.journal.note(Event::new(Kind::Stopping));
             self.stopping = true;
             self.dirty = true;
         }
@@ -603,7 +607,7 @@
                 Effect::Report(assignment, report) => {
                     self.reach(&assignment);
                     self.batch
-                        .report(&assignment.place.vm, assignment.epoch, report);
+                        .report(&assignment.node.vm, assignment.epoch, report);
                 }
                 Effect::Dispatch(handle, endpoint) => self.dispatch(now, handle, endpoint),
                 Effect::Refuse(handle, refusal) => {
@@ -615,7 +619,7 @@
                 Effect::Unserved(handle) => {
                     if let Some(sender) = self.decisions.remove(&handle) {
                         // The caller may have gone at the same moment.
-                        let _ = sender.send(Decision::Unserved);
+                        let _ = sender.send(Decision::NoEndpoint);
                     }
                 }
                 Effect::Expire(handle) => {
@@ -638,7 +642,7 @@
         let sender = self.decisions.remove(&handle);
         let found = self.endpoint(endpoint);
         let (Some(found), Some(sender)) = (found, sender) else {
-            let gone = coordination::ask::Verdict::Gone;
+            let gone = coordination::messages::Verdict::Cancelled;
             let effects = self.dispatcher.done(now, handle, 0, gone);
             self.act(now, effects);
             return;
@@ -655,15 +659,15 @@
         };
         if sender.send(Decision::Dispatch(dispatch)).is_err() {
             // The caller left while the grant was on its way: no byte was sent.
-            let gone = coordination::ask::Verdict::Gone;
+            let gone = coordination::messages::Verdict::Cancelled;
             let effects = self.dispatcher.done(now, handle, 0, gone);
             self.act(now, effects);
         }
     }
 
     fn reach(&mut self, assignment: &Assignment) {
-        if self.schedulers_dialed.insert(assignment.place.vm.clone()) {
-            self.parts.hub.dial(&assignment.place);
+        if self.schedulers_dialed.insert(assignment.node.vm.clone()) {
+            self.parts.hub.dial(&assignment.node);
         }
     }
 
--- a/components/node/src/releases.rs
+++ b/components/node/src/releases.rs
@@ -74,11 +74,11 @@
 
 /// Answers one request.
 pub(crate) async fn answer(parts: Arc<Parts>, request: Request<Incoming>) -> Response<Full<Bytes>> {
-    let data_centre = (request.uri().path()).strip_prefix(parts.interface.evacuations);
+    let data_centre = (request.uri().path()).strip_prefix(parts.interface.evacuation_path);
     if let Some(data_centre) = data_centre.map(str::to_owned) {
         return evacuate(&parts, &data_centre, request).await;
     }
-    if request.uri().path() != parts.interface.releases {
+    if request.uri().path() != parts.interface.release_path {
         return text(StatusCode::NOT_FOUND, "there is nothing here");
     }
     match *request.method() {
@@ -142,14 +142,14 @@
         Ok(Err(error)) => return text(StatusCode::BAD_REQUEST, &error.to_string()),
         Err(_) => return text(StatusCode::REQUEST_TIMEOUT, "the body took too long"),
     };
-    let release = match (parts.interface.release)(document) {
+    let release = match (parts.interface.parse_release)(document) {
         Ok(release) => release,
         Err(reason) => {
             tracing::info!(event = Line::ReleaseRefused.as_str(), reason);
             return text(StatusCode::BAD_REQUEST, &reason);
         }
     };
-    if !codec::fits(&release) {
+    if !codec::fits_record(&release) {
         return too_large();
     }
     let number = release.number;
@@ -173,10 +173,10 @@
 /// Bytes that a body may bring, if it can be taken: as many as it announces, or the most.
 fn announced(body: &Incoming) -> Option<usize> {
     let Some(length) = body.size_hint().exact() else {
-        return Some(codec::RECORD_MAX);
+        return Some(codec::MAX_RECORD_BYTES);
     };
     let length = usize::try_from(length).ok()?;
-    (length <= codec::RECORD_MAX).then_some(length)
+    (length <= codec::MAX_RECORD_BYTES).then_some(length)
 }
 
 /// Waits a moment for room for a body.
@@ -220,8 +220,8 @@
 
 async fn read(parts: &Parts) -> Response<Full<Bytes>> {
     let reading = async {
-        let head = match ask(parts, Query::Head, READ).await {
-            Some(Reply::Head(head)) => head,
+        let head = match ask(parts, Query::CurrentVersion, READ).await {
+            Some(Reply::CurrentVersion(head)) => head,
             _ => return None,
         };
         loop {
@@ -257,7 +257,7 @@
 }
 
 fn too_large() -> Response<Full<Bytes>> {
-    let most = codec::RECORD_MAX;
+    let most = codec::MAX_RECORD_BYTES;
     let reason = format!("a configuration has at most {most} bytes");
     text(StatusCode::PAYLOAD_TOO_LARGE, &reason)
 }
--- a/components/node/src/schedulers.rs
+++ b/components/node/src/schedulers.rs
@@ -1,18 +1,18 @@
 //! The schedulers that this VM runs.
 
 use crate::batch::Batch;
-use crate::interface::Told;
+use crate::interface::Contents;
 use crate::inventory::Unknown;
 use crate::journal::Journal;
-use crate::metric::{value, Metrics};
+use crate::metric::{gauge_value, Metrics};
 use crate::shared::ShardStatus;
-use coordination::ask::{Kept, Report, Served};
 use coordination::assignment;
 use coordination::dispatcher::{endpoints, set_cold, set_engines};
+use coordination::messages::{Cached, Report, Served};
 use coordination::scheduler::{Effect, Effects, Scheduler, Session};
 use state::clock::Millis;
 use state::config::Endpoint;
-use state::event::{Event, Step};
+use state::event::{Event, Kind};
 use state::id::{EndpointId, Epoch, Name};
 use state::line::Line;
 use state::view::{Assignment, Shard, View};
@@ -62,7 +62,7 @@
     /// Starts and ends schedulers as the view says.
     pub(crate) fn follow(&mut self, now: Millis, view: &View, batch: &mut Batch) {
         let current = assignment::shards(view);
-        let is_mine = |a: &&Assignment| a.place.vm == self.me && current.contains(&a.shard);
+        let is_mine = |a: &&Assignment| a.node.vm == self.me && current.contains(&a.shard);
         let assignments = || view.assignments.iter().filter(is_mine);
         let over: Vec<Epoch> = (self.all.keys())
             .filter(|epoch| !assignments().any(|s| s.epoch == **epoch))
@@ -78,12 +78,12 @@
             .collect();
         for epoch in over {
             if let Some(assigned) = self.all.remove(&epoch) {
-                let event = Event::new(Step::SchedulerEnded).service(assigned.shard.service);
+                let event = Event::new(Kind::SchedulerEnded).service(assigned.shard.service);
                 self.journal.note(event.epoch(epoch));
             }
         }
         for (epoch, shard) in begun {
-            let event = Event::new(Step::SchedulerBegan).service(shard.service);
+            let event = Event::new(Kind::SchedulerBegan).service(shard.service);
             self.journal.note(event.epoch(epoch));
             let mut scheduler = Scheduler::new(epoch, now);
             scheduler.enable_batching();
@@ -121,7 +121,7 @@
             set_cold(slots, now, view, |_| 0);
             slots.retain_foreign(|id| {
                 let endpoint = view.config.endpoints.get(&id);
-                endpoint.is_some_and(|endpoint| view.takes_work(id, endpoint))
+                endpoint.is_some_and(|endpoint| view.accepts_work(id, endpoint))
             });
         }
         self.tick(now, batch);
@@ -186,7 +186,7 @@
 
     /// What engines of each scheduler have come to keep, for the others of its service in its
     /// region: prompts must not be copied to another one.
-    pub(crate) fn kept(&mut self, view: &View) -> Vec<(Assignment, Vec<Kept>)> {
+    pub(crate) fn kept(&mut self, view: &View) -> Vec<(Assignment, Vec<Cached>)> {
         let mut all = Vec::new();
         for assigned in self.all.values_mut() {
             let fresh = assigned.scheduler.take_new_cached();
@@ -217,7 +217,7 @@
     }
 
     /// Takes what engines of another scheduler keep.
-    pub(crate) fn hear_kept(&mut self, view: &View, from: &Name, kept: &[Kept]) {
+    pub(crate) fn hear_kept(&mut self, view: &View, from: &Name, kept: &[Cached]) {
         for assigned in self.all.values_mut() {
             let shard = &assigned.shard;
             let is_other = |a: &&Assignment| {
@@ -225,7 +225,7 @@
                 other.service == shard.service && other.region == shard.region && other != shard
             };
             let mut others = view.assignments.iter().filter(is_other);
-            if others.any(|a| a.place.vm == *from) {
+            if others.any(|a| a.node.vm == *from) {
                 assigned.scheduler.merge_cached(kept);
             }
         }
@@ -261,7 +261,7 @@
         &mut self,
         now: Millis,
         endpoint: EndpointId,
-        told: &Told,
+        told: &Contents,
         batch: &mut Batch,
     ) {
         for assigned in self.all.values_mut() {
@@ -375,16 +375,16 @@
                     .with_label_values(&[service, region, what]);
                 gauge.set(number);
             };
-            set("slots", value(status.slots));
-            set("running", value(status.running));
-            set("waiting", value(status.waiting));
-            set("routers", value(status.routers));
+            set("slots", gauge_value(status.slots));
+            set("running", gauge_value(status.running));
+            set("waiting", gauge_value(status.waiting));
+            set("routers", gauge_value(status.routers));
             for (customer, level) in &status.levels {
                 let labels = [service, region, customer.as_str()];
                 self.metrics
                     .service
                     .with_label_values(&labels)
-                    .set(value(*level));
+                    .set(gauge_value(*level));
             }
         }
     }
@@ -456,11 +456,11 @@
                 }
                 Effect::Ejected(endpoint) => {
                     self.tell(Line::EndpointEjected, endpoint);
-                    journal.note(Event::new(Step::Ejected).endpoint(endpoint));
+                    journal.note(Event::new(Kind::Ejected).endpoint(endpoint));
                 }
                 Effect::Restored(endpoint) => {
                     self.tell(Line::EndpointRestored, endpoint);
-                    journal.note(Event::new(Step::Restored).endpoint(endpoint));
+                    journal.note(Event::new(Kind::Restored).endpoint(endpoint));
                 }
             }
         }
