--- a/components/coordination/src/engine/mod.rs
+++ b/components/coordination/src/engine/mod.rs
@@ -124,7 +124,7 @@
     }
 
     /// Forecast for the request, for logs.
-    pub fn basis(&self) -> Forecast {
+    pub fn forecast(&self) -> Forecast {
         let tokens = |n: u64| u32::try_from(n).unwrap_or(u32::MAX);
         Forecast {
             to_read: tokens(self.prefill_tokens()),
--- a/components/coordination/src/prompt.rs
+++ b/components/coordination/src/prompt.rs
@@ -1,28 +1,28 @@
-//! What is known of a request's prompt before it is sent.
+//! The prompt of a request, as far as it is known before the request is sent.
 
 use serde::{Deserialize, Serialize};
 
-/// Parts that a prompt tells at most; what follows them counts as one part.
+/// Most parts of a prompt; all tokens from the last part on count as one part.
 ///
-/// Prompts have two or three shared parts and one of their own. A bound makes
-/// an ask small and of one size.
+/// Prompts have two or three shared parts and one of their own. The bound keeps asks small
+/// and of a fixed size.
 pub const MAX_PARTS: usize = 4;
 
-/// Key of a part that nobody shares. What is kept of it is never of use.
+/// Key of a part that no other request shares, so that caching it is of no use.
 pub const UNSHARED_KEY: u32 = u32::MAX;
 
-/// A part of a prompt that endpoints may have kept from an earlier request.
+/// A part of a prompt, which endpoints may have cached from an earlier request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// Names the part, 0 for none. An endpoint can use a kept part only if it has all
-    /// parts before it too.
+    /// Hash of the part and all parts before it; 0 for none. An endpoint can use a cached part
+    /// only with all parts before it.
     pub key: u32,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
 impl Part {
-    /// A part by its identity.
+    /// The first part of a prompt, with the identity `id`.
     pub fn new(id: u64, tokens: u32) -> Self {
         Part {
             key: chain(0, id),
@@ -31,7 +31,7 @@
     }
 }
 
-/// A prompt, as parts in order, and what it is expected to bring.
+/// Parts of a prompt in their order, and the expected length of the output.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prompt {
     parts: [Part; MAX_PARTS],
@@ -51,14 +51,14 @@
         };
         for (n, (id, tokens)) in parts.into_iter().enumerate() {
             let part = &mut prompt.parts[n.min(MAX_PARTS - 1)];
-            // What follows the last part that is told is one with it.
+            // Further parts are merged into the last one.
             part.key = chain(part.key, id);
             part.tokens = part.tokens.saturating_add(tokens);
         }
         prompt
     }
 
-    /// A prompt that shares nothing with others.
+    /// A prompt that shares no part with other requests.
     pub fn unshared(tokens: u32, output: u32) -> Self {
         let mut prompt = Prompt {
             output,
@@ -78,18 +78,18 @@
         prompt
     }
 
-    /// Its parts in order.
+    /// Parts of the prompt in their order.
     pub fn parts(&self) -> impl Iterator<Item = Part> + '_ {
         self.parts.iter().copied().take_while(|p| p.key != 0)
     }
 
-    /// Key of its first part, 0 if nothing is known of it.
+    /// Key of the first part; 0 if nothing is known of the prompt.
     pub fn first_key(&self) -> u32 {
         self.parts[0].key
     }
 
-    /// Key of its last part that other requests may share, 0 for none, and the tokens up to
-    /// its end: the last part of all is a request's own, or its session's.
+    /// Key of the last part that other requests may share, 0 for none, and the tokens up to its
+    /// end. The last part of a prompt belongs to the request or its conversation alone.
     pub fn shared_prefix(&self) -> (u32, u64) {
         let count = self.parts().count();
         let shared = || self.parts().take(count.saturating_sub(1));
@@ -103,14 +103,14 @@
     }
 }
 
-/// Key of a part that begins with what `before` names, 0 for nothing.
+/// Key of the part `id` that follows the part with the key `before`, 0 for none.
 fn chain(before: u32, id: u64) -> u32 {
     let mixed = mix(u64::from(before).rotate_left(32) ^ id);
     // CAST: the upper half of 64 bits fits into 32.
     ((mixed >> 32) as u32).max(1)
 }
 
-/// A number that looks random, the same for the same input.
+/// A pseudorandom number that is determined by the input.
 pub(crate) fn mix(input: u64) -> u64 {
     // The finalizer of splitmix64 (Steele, Lea and Flood, 2014).
     let mut z = input.wrapping_add(0x9e37_79b9_7f4a_7c15);
--- a/components/coordination/src/scheduler/mod.rs
+++ b/components/coordination/src/scheduler/mod.rs
@@ -1,24 +1,24 @@
-//! The scheduler of one shard: whose request gets the next free slot.
+//! The scheduler of one shard: grants the slots of its endpoints to waiting requests.
 //!
-//! Between two customers that both wait, the one with less virtual service
-//! goes first. Which router a request waits on plays no part.
+//! Of two customers with waiting requests, the one that has received less virtual service is
+//! served first, whichever routers the requests wait on.
 
-mod kept;
-mod late;
+mod allocation;
+mod cached;
 mod next;
-mod pace;
 mod queue;
-mod settled;
-mod share;
+mod refusal;
+mod throughput;
+mod usage;
 
-pub use self::share::Allocation;
+pub use self::allocation::Allocation;
 
-use self::kept::Telling;
+use self::allocation::Allocations;
+use self::cached::Announcements;
 use self::next::Next;
-use self::pace::Pace;
 use self::queue::{Key, Queue};
-use self::settled::Settled;
-use self::share::Shares;
+use self::throughput::Throughput;
+use self::usage::Counted;
 use crate::engine::Prefill;
 use crate::health;
 use crate::ledger::{virtual_cost, Ledger};
@@ -29,74 +29,77 @@
 use crate::slot::{Slots, Strategy};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// How long a new scheduler gathers sessions before its first grant, in
-/// milliseconds.
+/// Time for which a new scheduler collects sessions before its first grant, in milliseconds.
 ///
-/// Without it the first router to arrive would be given slots that requests of
-/// the others still hold: one would see endpoints over their slots right after
-/// each change of scheduler.
+/// Without it, the first router to connect would be granted slots that requests of other
+/// routers still occupy, and endpoints would be overcommitted after each change of scheduler.
 pub const GATHER_MS: u64 = 200;
-/// How long the requests of a lost session still count, in milliseconds.
+/// Time for which the requests of a lost session still count, in milliseconds.
 ///
-/// Its router may only be cut off from here, and its requests still run. Those
-/// of a router that comes back are told by it, or have died with it.
+/// Its router may only be disconnected from this scheduler while its requests continue. A
+/// router that reconnects reports the requests that still run.
 pub const ORPHAN_MS: u64 = 1000;
-/// Time without a first byte after which an endpoint has failed a request whose
-/// caller left, in aims of the request: it is long past any use.
+/// Time without a first byte after which an endpoint has failed a request that its caller has
+/// cancelled, in latency targets of the request.
 const SILENT_AIMS: u64 = 2;
-/// Shortest aim for this, in milliseconds: below it the way there and a full queue
-/// take more than the aim.
-const SILENT_MIN_MS: u64 = 500;
-/// Longest wait for engines to tell what they have kept, from the end of the gathering
-/// on, in milliseconds: a page of one takes some 10 to 30 ms.
-const INQUIRY_MS: u64 = 150;
-/// Tellings of which one tells all totals.
-const TELL_ALL: u32 = 8;
-/// Longest wait before an unused class is forgotten, in milliseconds.
-const CLASS_MS: u64 = 60_000;
-
-/// A session with a router, in an arena of this scheduler.
+/// Shortest latency target for this purpose, in milliseconds: the network and a full queue
+/// take longer than shorter targets.
+const SILENT_AIM_MIN_MS: u64 = 500;
+/// Longest wait for the cache inventories of engines, from the end of [`GATHER_MS`] on, in
+/// milliseconds: one page of an inventory takes about 10 to 30 ms.
+const INVENTORY_MAX_MS: u64 = 150;
+/// One in this many reports of the service given contains the totals of all customers.
+const FULL_REPORT_INTERVAL: u32 = 8;
+/// Time after which an unused class is removed, in milliseconds.
+const CLASS_EXPIRY_MS: u64 = 60_000;
+
+/// Number of a router's session at this scheduler.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Session(pub u32);
 
-/// Something that a scheduler wants done.
+/// An action that a scheduler requests, or an event that it reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Give this grant to the router of the session.
+    /// Send this grant to the router of the session.
     Grant(Session, Grant),
-    /// Tell the router of the session that an ask cannot be served in time.
+    /// Send this refusal to the router of the session: the ask cannot be served in time.
     Refuse(Session, Refusal),
-    /// Ask this engine what it has kept of prompts.
+    /// Request the inventory of an engine's cache.
     RequestInventory(EndpointId),
     /// An endpoint was ejected.
     Ejected(EndpointId),
-    /// An ejected endpoint is back.
+    /// An endpoint has returned from an ejection.
     Restored(EndpointId),
 }
 
 /// Effects of one input.
 pub type Effects = SmallVec<[Effect; 4]>;
 
+/// State of the limits of a class.
 #[derive(Clone, Debug)]
 struct ClassState {
+    /// Requests in progress.
     running: u32,
+    /// Rate limit; `None` if there is none.
     bucket: Option<Bucket>,
-    used: Millis,
+    used_at: Millis,
 }
 
+/// A request in progress.
 #[derive(Clone, Copy, Debug)]
 struct Running {
     class: Class,
     weight: u32,
     endpoint: EndpointId,
+    /// Cost charged so far, in units of the service.
     charged: u32,
-    /// What it takes of a model engine; unknown if another scheduler granted it.
-    reading: Option<Prefill>,
-    /// When silence of its endpoint counts as a failure, until its first byte.
+    /// Work on an inference engine; `None` if another scheduler granted the request.
+    prefill: Option<Prefill>,
+    /// When a missing first byte counts as a failure; `None` after the first byte.
     silent_at: Option<Millis>,
 }
 
-/// What a scheduler believes of its shard.
+/// State of a scheduler and its estimates, for logs and metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
     /// Asks that wait.
@@ -105,17 +108,17 @@
     pub running: usize,
     /// Customers with asks that wait.
     pub customers: usize,
-    /// Prompt tokens that engines have yet to read.
+    /// Tokens that engines have yet to prefill.
     pub unread_tokens: u64,
-    /// Tokens that the slowest engine reads in a second.
+    /// Prefill speed of the slowest engine.
     pub slowest_tokens_per_s: u64,
-    /// Tokens that the fastest engine reads in a second.
+    /// Prefill speed of the fastest engine.
     pub fastest_tokens_per_s: u64,
-    /// Cost that is started in a second while work waits.
+    /// Cost of the requests that are started per second while others wait.
     pub cost_per_s: u64,
     /// Asks refused in this epoch.
     pub refused: u64,
-    /// Grants given in this epoch.
+    /// Asks granted in this epoch.
     pub granted: u64,
 }
 
@@ -126,47 +129,52 @@
     ledger: Ledger,
     slots: Slots,
     classes: BTreeMap<Class, ClassState>,
-    /// Asks of this region.
+    /// Waiting asks of this region.
     queue: Queue,
-    pace: Pace,
+    throughput: Throughput,
     refused: u64,
     granted: u64,
-    shares: Shares,
-    telling: Telling,
-    /// When asks that wait were last looked through.
-    reviewed: Millis,
-    /// Asks from other regions, in the order of their arrival.
-    remotes: VecDeque<(Key, Ask)>,
+    allocations: Allocations,
+    announcements: Announcements,
+    /// When the waiting asks were last reviewed.
+    reviewed_at: Millis,
+    /// Waiting asks of other regions, in the order of their arrival.
+    remote_asks: VecDeque<(Key, Ask)>,
     running: BTreeMap<(Session, Seq), Running>,
     sessions: BTreeSet<Session>,
+    /// Lost sessions, with the time until which their requests count.
     orphans: BTreeMap<Session, Millis>,
-    /// Service that routers gave while there was no scheduler. It is added once
-    /// the largest memory of each customer is known, since memories are not
-    /// added up and this is.
-    spent: BTreeMap<Session, Vec<(CustomerId, u64)>>,
-    /// What of it was added.
-    settled: Settled,
+    /// Service that routers gave while they had no scheduler. It is added to the ledger after
+    /// all routers have reported the levels that they remember: of those the largest counts,
+    /// while this service is a sum.
+    uncounted: BTreeMap<Session, Vec<(CustomerId, u64)>>,
+    /// Part of the reported service that was added to the ledger.
+    counted: Counted,
     /// Largest floor that a router remembers.
     floor: u64,
-    /// Service given here in this epoch, for the other regions to count.
+    /// Service given here in this epoch, to be counted by schedulers of other regions.
     served: BTreeMap<CustomerId, u64>,
-    /// Customers whose total has grown since it was last told.
+    /// Customers whose total in `served` has grown since the last report.
     grown: BTreeSet<CustomerId>,
-    tellings: u32,
-    /// What other regions' schedulers have told of theirs, by epoch.
+    /// Number of reports of `served` so far.
+    reports: u32,
+    /// Totals reported by schedulers of other regions, by their epoch.
     foreign: BTreeMap<Epoch, BTreeMap<CustomerId, u64>>,
+    /// Whether the first grants have been made.
     is_open: bool,
-    opened: Millis,
+    /// When the first grants can be made.
+    opens_at: Millis,
     /// Whether grants wait for [`Scheduler::flush`].
     is_batched: bool,
-    /// Whether something has happened since that may make a grant possible.
+    /// Whether an event since the last grants may have made another one possible.
     is_due: bool,
-    /// Asks that have come since, to be refused if they would be late.
+    /// Asks since the last grants, to be refused if they would be late.
     arrived: Vec<Key>,
-    may_inquire: bool,
-    /// Engines that were asked what they have kept and have not told.
-    inquired: BTreeSet<EndpointId>,
-    next: u32,
+    may_request_inventory: bool,
+    /// Engines whose inventory was requested and has not arrived.
+    inventories_missing: BTreeSet<EndpointId>,
+    /// Number of the next session.
+    next_session: u32,
 }
 
 impl Scheduler {
@@ -175,63 +183,63 @@
         Scheduler::with_strategy(epoch, now, Strategy::LeastLoaded)
     }
 
-    /// A scheduler that chooses endpoints by `choice`, for comparison.
-    pub fn with_strategy(epoch: Epoch, now: Millis, choice: Strategy) -> Self {
+    /// A scheduler that chooses endpoints by `strategy`, for comparison.
+    pub fn with_strategy(epoch: Epoch, now: Millis, strategy: Strategy) -> Self {
         Scheduler {
             epoch,
             ledger: Ledger::default(),
-            slots: Slots::new(choice),
+            slots: Slots::new(strategy),
             classes: BTreeMap::new(),
             queue: Queue::default(),
-            pace: Pace::default(),
+            throughput: Throughput::default(),
             refused: 0,
             granted: 0,
-            shares: Shares::default(),
-            telling: Telling::default(),
-            reviewed: now,
+            allocations: Allocations::default(),
+            announcements: Announcements::default(),
+            reviewed_at: now,
             running: BTreeMap::new(),
             sessions: BTreeSet::new(),
             orphans: BTreeMap::new(),
-            spent: BTreeMap::new(),
-            settled: Settled::default(),
+            uncounted: BTreeMap::new(),
+            counted: Counted::default(),
             floor: 0,
-            remotes: VecDeque::new(),
+            remote_asks: VecDeque::new(),
             served: BTreeMap::new(),
             grown: BTreeSet::new(),
-            tellings: 0,
+            reports: 0,
             foreign: BTreeMap::new(),
             is_open: false,
             is_batched: false,
             is_due: false,
             arrived: Vec::new(),
-            may_inquire: false,
-            inquired: BTreeSet::new(),
-            opened: now.after(GATHER_MS),
-            next: 0,
+            may_request_inventory: false,
+            inventories_missing: BTreeSet::new(),
+            opens_at: now.after(GATHER_MS),
+            next_session: 0,
         }
     }
 
-    /// Its epoch.
+    /// Epoch of the scheduler.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Its endpoints.
+    /// Slots of the shard's endpoints.
     pub fn slots(&mut self) -> &mut Slots {
         &mut self.slots
     }
 
-    /// Asks that wait.
+    /// Number of waiting asks.
     pub fn waiting(&self) -> usize {
-        self.queue.len() + self.remotes.len()
+        self.queue.len() + self.remote_asks.len()
     }
 
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// What it has come to believe, for logs and metrics.
+    /// State of the scheduler and its estimates, for logs and metrics.
     pub fn summary(&self) -> Summary {
         let (unread_tokens, slowest_tokens_per_s, fastest_tokens_per_s) =
             self.slots.prefill_totals();
@@ -242,41 +250,41 @@
             unread_tokens,
             slowest_tokens_per_s,
             fastest_tokens_per_s,
-            cost_per_s: self.pace.per_second(),
+            cost_per_s: self.throughput.cost_per_s(),
             refused: self.refused,
             granted: self.granted,
         }
     }
 
-    /// Routers with a session.
+    /// Number of routers with a session.
     pub fn routers(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Slots and requests in progress over all endpoints that take work.
+    /// Slots and requests in progress over all endpoints that are not leaving.
     pub fn totals(&self) -> (u32, u32) {
         self.slots.totals()
     }
 
-    /// Virtual service of each customer, settled.
+    /// Virtual service of each customer for requests that have ended.
     pub fn levels(&self) -> Vec<(CustomerId, u64)> {
         self.ledger.all().collect()
     }
 
-    /// Opens a session with a router's hello, in place of its earlier one.
+    /// Opens a session with a router's hello, in place of its older session.
     ///
-    /// The hello says what is still in progress; whatever else the earlier
-    /// session held has ended, or has died with an earlier life of the router.
+    /// The hello lists the requests that are still in progress; all others of the older session
+    /// have ended, possibly because the router has restarted.
     pub fn open_session(&mut self, now: Millis, older: Option<Session>, hello: &Hello) -> Session {
         self.floor = self.floor.max(hello.floor);
         if let Some(older) = older {
-            // A hello that is said again tells the same spending again.
-            self.spent.remove(&older);
+            // A repeated hello reports the same usage again.
+            self.uncounted.remove(&older);
             self.close_session(now, older);
             self.drop_running(now, older);
         }
-        let session = Session(self.next);
-        self.next += 1;
+        let session = Session(self.next_session);
+        self.next_session += 1;
         self.sessions.insert(session);
         for kept in &hello.cached {
             self.slots.note_cached(now, kept.endpoint, kept.part);
@@ -287,15 +295,15 @@
         for known in &hello.usage {
             self.ledger.restore(known.customer, known.level);
         }
-        let spent = self.settled.open(older, session, hello);
-        self.spent.insert(session, spent);
+        let uncounted = self.counted.open(older, session, hello);
+        self.uncounted.insert(session, uncounted);
         for held in &hello.held {
             let running = Running {
                 class: held.class,
                 weight: held.weight,
                 endpoint: held.endpoint,
                 charged: held.cost,
-                reading: None,
+                prefill: None,
                 silent_at: None,
             };
             self.slots.adopt(now, held.endpoint);
@@ -307,19 +315,19 @@
         session
     }
 
-    /// Lets grants wait for [`Scheduler::flush`], so that what came together is looked at
-    /// together.
+    /// Delays grants until [`Scheduler::flush`], so that events which arrive together are
+    /// handled together.
     ///
-    /// A look through the asks that wait costs a look at some tens of engines for each of
-    /// them. Done for each ask, first byte and end, it may take all of a small VM's share
-    /// of a core, and requests wait for the scheduler instead of engines. In batches
-    /// the cost of an event falls as load rises.
+    /// A pass through the waiting asks visits some tens of engines for each of them. One pass
+    /// for each ask, first byte and end can take all of a small VM's share of a core, and
+    /// requests wait for the scheduler instead of engines. In batches, the cost of an event
+    /// falls as load rises.
     pub fn enable_batching(&mut self) {
         self.is_batched = true;
     }
 
-    /// Grants what has become possible since the last call, and refuses of what has come
-    /// what would be late.
+    /// Grants asks if an event since the last call may have made this possible, and refuses the
+    /// asks since then that would be late.
     pub fn flush(&mut self, now: Millis) -> Effects {
         if !std::mem::take(&mut self.is_due) {
             return Effects::new();
@@ -331,30 +339,31 @@
         effects
     }
 
-    /// Lets it ask engines what they have kept, where no router has told.
+    /// Lets the scheduler request the inventories of engines of whose cache it knows nothing.
     pub fn enable_inventory_requests(&mut self) {
-        self.may_inquire = true;
+        self.may_request_inventory = true;
     }
 
-    /// Takes what an engine has kept, nothing if it did not tell, and when it says
-    /// that it started, in Unix milliseconds.
+    /// Takes the inventory of an engine, which is empty if it could not be read, and the start
+    /// time that the engine has reported, in Unix milliseconds.
     pub fn note_inventory(
         &mut self,
         now: Millis,
         endpoint: EndpointId,
-        born: Option<u64>,
+        started_at: Option<u64>,
         parts: &[Part],
     ) -> Effects {
-        if self.slots.note_start(endpoint, born) {
+        if self.slots.note_start(endpoint, started_at) {
             for part in parts {
                 self.slots.note_cached(now, endpoint, *part);
             }
         }
-        self.inquired.remove(&endpoint);
+        self.inventories_missing.remove(&endpoint);
         self.grant(now)
     }
 
-    /// Takes a report of an open session. A hello is for [`Scheduler::open_session`].
+    /// Handles a report of an open session. A hello is ignored: it is for
+    /// [`Scheduler::open_session`].
     pub fn handle_report(&mut self, now: Millis, session: Session, report: Report) -> Effects {
         match report {
             Report::Hello(_) => Effects::new(),
@@ -363,7 +372,7 @@
                 self.withdraw(session, seq);
                 Effects::new()
             }
-            Report::Return(seq) => self.give_back(now, session, seq),
+            Report::Return(seq) => self.return_grant(now, session, seq),
             Report::Began(seq, took_ms) => self.note_first_byte(now, session, seq, took_ms),
             Report::Progress(seq, cost) => {
                 self.progress(session, seq, cost);
@@ -377,26 +386,26 @@
         }
     }
 
-    /// Ends a session whose link was lost; its requests count for a while more.
+    /// Closes a session whose link was lost; its requests still count for [`ORPHAN_MS`].
     pub fn close_session(&mut self, now: Millis, session: Session) {
         if !self.sessions.remove(&session) {
             return;
         }
         self.slots.clear_backoff(session.0);
-        self.remotes.retain(|((of, _), _)| *of != session);
+        self.remote_asks.retain(|((of, _), _)| *of != session);
         for seq in self.queue.of_session(session) {
             self.withdraw(session, seq);
         }
         self.orphans.insert(session, now.after(ORPHAN_MS));
     }
 
-    /// Takes an ask.
+    /// Adds an ask to the queue.
     pub fn ask(&mut self, now: Millis, session: Session, ask: Ask) -> Effects {
         if !self.sessions.contains(&session) {
             return Effects::new();
         }
         if ask.remote {
-            self.remotes.push_back(((session, ask.seq), ask));
+            self.remote_asks.push_back(((session, ask.seq), ask));
             return self.grant(now);
         }
         let class = self.class(now, ask.class);
@@ -412,13 +421,13 @@
         self.grant(now)
     }
 
-    /// Takes back an ask that was given up.
+    /// Removes an ask that its router has withdrawn.
     pub fn withdraw(&mut self, session: Session, seq: Seq) {
         self.remove_ask(session, seq);
     }
 
     /// Takes back a grant that was not used.
-    pub fn give_back(&mut self, now: Millis, session: Session, seq: Seq) -> Effects {
+    pub fn return_grant(&mut self, now: Millis, session: Session, seq: Seq) -> Effects {
         if let Some((running, _)) = self.end(now, session, seq, 0, None) {
             if let Some(bucket) = self.class(now, running.class).bucket.as_mut() {
                 bucket.refund();
@@ -427,8 +436,8 @@
         self.grant(now)
     }
 
-    /// Notes the first byte of an answer: an engine has read the prompt, and may
-    /// be given the next one. It came `took_ms` after the grant reached its router.
+    /// Notes the first byte of an answer, `took_ms` after the grant reached the router: the
+    /// engine has prefilled the prompt, and may be sent the next one.
     pub fn note_first_byte(
         &mut self,
         now: Millis,
@@ -438,12 +447,12 @@
     ) -> Effects {
         if let Some(running) = self.running.get_mut(&(session, seq)) {
             running.silent_at = None;
-            if let Some(reading) = &mut running.reading {
+            if let Some(prefill) = &mut running.prefill {
                 self.slots
-                    .note_first_byte(now, running.endpoint, reading, took_ms);
+                    .note_first_byte(now, running.endpoint, prefill, took_ms);
             }
         }
-        self.note_read(session, seq);
+        self.note_prefilled(session, seq);
         self.grant(now)
     }
 
@@ -474,7 +483,7 @@
         let Some((running, change)) = self.end(now, session, seq, cost, Some(verdict)) else {
             return effects;
         };
-        // Callers leave an endpoint that swallows requests, and say nothing of it.
+        // Callers cancel requests to an endpoint that never answers.
         if verdict == Verdict::Cancelled && running.silent_at.is_some_and(|at| at <= now) {
             self.slots.note_silence(now, running.endpoint);
         }
@@ -482,8 +491,8 @@
             health::Change::Ejected => effects.push(Effect::Ejected(running.endpoint)),
             health::Change::Restored => {
                 effects.push(Effect::Restored(running.endpoint));
-                // It may have started again, and have kept nothing.
-                if self.may_inquire && running.reading.is_some() {
+                // The engine may have restarted with an empty cache.
+                if self.may_request_inventory && running.prefill.is_some() {
                     effects.push(Effect::RequestInventory(running.endpoint));
                 }
             }
@@ -493,25 +502,27 @@
         effects
     }
 
-    /// Service given here in this epoch, by customer, to tell other regions:
-    /// totals that have grown since the last telling, and at times all of them,
-    /// in case one was lost.
+    /// Takes the next report of the service given here in this epoch, for other regions: the
+    /// totals that have grown since the last report, and regularly all totals, in case a report
+    /// was lost.
     pub fn take_served(&mut self) -> Served {
         let grown = std::mem::take(&mut self.grown);
-        let all = self.tellings.is_multiple_of(TELL_ALL);
-        self.tellings = self.tellings.wrapping_add(1);
-        let told = self.served.iter().filter(|(c, _)| all || grown.contains(c));
+        let all = self.reports.is_multiple_of(FULL_REPORT_INTERVAL);
+        self.reports = self.reports.wrapping_add(1);
+        let reported = self.served.iter().filter(|(c, _)| all || grown.contains(c));
         Served {
             epoch: self.epoch,
             all,
-            totals: told.map(|(customer, total)| (*customer, *total)).collect(),
+            totals: reported
+                .map(|(customer, total)| (*customer, *total))
+                .collect(),
         }
     }
 
-    /// Takes what another region's scheduler gave in its epoch.
+    /// Merges a report of the service that another region's scheduler gave in its epoch.
     ///
-    /// The first telling of all totals of an epoch only sets where counting begins:
-    /// what it gave before was counted by whoever scheduled here then.
+    /// The first report with all totals of an epoch only sets the base for counting: earlier
+    /// service was counted by the scheduler that this one has replaced.
     pub fn merge_served(&mut self, served: &Served) {
         let known = self.foreign.contains_key(&served.epoch);
         if !known && !served.all {
@@ -525,7 +536,7 @@
         }
     }
 
-    /// Forgets schedulers of other regions that `keep` refuses.
+    /// Removes the schedulers of other regions for whose epoch `keep` is false.
     pub fn retain_foreign<F>(&mut self, keep: F)
     where
         F: Fn(Epoch) -> bool,
@@ -533,26 +544,27 @@
         self.foreign.retain(|epoch, _| keep(*epoch));
     }
 
-    /// Lets time pass: ends orphans, opens limits, grants what has become free.
+    /// Handles the passage of time: ends the requests of lost sessions, reviews the queue, and
+    /// grants slots that have become free.
     pub fn tick(&mut self, now: Millis) -> Effects {
-        let over: SmallVec<[Session; 4]> = (self.orphans.iter())
+        let expired: SmallVec<[Session; 4]> = (self.orphans.iter())
             .filter(|(_, until)| **until <= now)
             .map(|(session, _)| *session)
             .collect();
-        for session in over {
+        for session in expired {
             self.orphans.remove(&session);
             self.drop_running(now, session);
         }
-        self.pace.tick(now, self.queue.len() > 0);
-        let mut refused = self.review(now);
+        self.throughput.tick(now, self.queue.len() > 0);
+        let mut effects = self.review(now);
         self.classes
-            .retain(|_, class| class.running > 0 || now.since(class.used) < CLASS_MS);
-        refused.extend(self.grant(now));
-        refused
+            .retain(|_, class| class.running > 0 || now.since(class.used_at) < CLASS_EXPIRY_MS);
+        effects.extend(self.grant(now));
+        effects
     }
 
-    /// Grants free slots to waiting customers, unless that waits for the others of its
-    /// batch.
+    /// Grants free slots to waiting asks, or marks this as due for [`Scheduler::flush`] if
+    /// events are handled in batches.
     pub fn grant(&mut self, now: Millis) -> Effects {
         self.is_due = true;
         if self.is_batched {
@@ -561,24 +573,24 @@
         self.flush(now)
     }
 
-    /// Grants free slots to waiting customers, least served first.
+    /// Grants free slots to waiting asks, of the customers with the least service first.
     fn grant_all(&mut self, now: Millis) -> Effects {
         let mut effects = Effects::new();
-        if now < self.opened {
+        if now < self.opens_at {
             return effects;
         }
-        let spent = std::mem::take(&mut self.spent);
-        for (session, all) in spent {
-            for (customer, spent) in all {
+        let uncounted = std::mem::take(&mut self.uncounted);
+        for (session, usage) in uncounted {
+            for (customer, spent) in usage {
                 self.ledger.settle(customer, 0, spent);
-                self.settled.add(session, customer, spent);
+                self.counted.add(session, customer, spent);
             }
         }
         if !std::mem::replace(&mut self.is_open, true) {
             self.ledger.open(self.floor);
-            self.inquire(now, &mut effects);
+            self.request_inventories(now, &mut effects);
         }
-        if !self.inquired.is_empty() && now < self.opened.after(INQUIRY_MS) {
+        if !self.inventories_missing.is_empty() && now < self.opens_at.after(INVENTORY_MAX_MS) {
             return effects;
         }
         while self.slots.has_free_slot(now) {
@@ -590,29 +602,35 @@
         effects
     }
 
-    /// Asks engines what they have kept.
+    /// Requests the inventories of all engines of whose cache nothing is known.
     ///
-    /// Grants wait for the answers: after a loss of all processes, what waits by then
-    /// would be sent to engines that have to read all of it again.
-    fn inquire(&mut self, now: Millis, effects: &mut Effects) {
-        if !self.may_inquire {
+    /// Grants wait for the inventories: after a loss of all processes, the requests that wait
+    /// would otherwise be sent to engines that have to prefill their prompts again.
+    fn request_inventories(&mut self, now: Millis, effects: &mut Effects) {
+        if !self.may_request_inventory {
             return;
         }
-        self.inquired = self.slots.with_empty_cache(now).into_iter().collect();
-        effects.extend(self.inquired.iter().copied().map(Effect::RequestInventory));
+        self.inventories_missing = self.slots.with_empty_cache(now).into_iter().collect();
+        effects.extend(
+            self.inventories_missing
+                .iter()
+                .copied()
+                .map(Effect::RequestInventory),
+        );
     }
 
+    /// Starts a request: takes its slot, and charges its expected cost to the customer.
     fn start(&mut self, now: Millis, next: Next) -> Effect {
         let Next { key, ask, endpoint } = next;
-        let reading = self
+        let prefill = self
             .slots
             .acquire_with(now, endpoint, ask.prompt, ask.avoid.is_none());
         let customer = ask.class.customer;
-        self.pace.start(ask.hint);
+        self.throughput.start(ask.hint);
         self.granted += 1;
-        self.shares.granted(customer, ask.hint);
-        // The charge comes first, so that a customer leaving the backlog with
-        // this ask still carries it.
+        self.allocations.note_granted(customer, ask.hint);
+        // The charge comes before the removal of the ask, after which the customer may no longer
+        // be backlogged.
         let amount = virtual_cost(ask.hint, ask.weight);
         self.ledger.charge(customer, amount);
         self.remove_ask(key.0, key.1);
@@ -626,19 +644,19 @@
             weight: ask.weight,
             endpoint,
             charged: ask.hint,
-            reading,
-            silent_at: Some(now.after(u64::from(ask.aim_ms).max(SILENT_MIN_MS) * SILENT_AIMS)),
+            prefill,
+            silent_at: Some(now.after(u64::from(ask.aim_ms).max(SILENT_AIM_MIN_MS) * SILENT_AIMS)),
         };
         self.running.insert(key, running);
         let grant = Grant {
             epoch: self.epoch,
             seq: key.1,
             endpoint,
-            copy_from: reading.and_then(|r| r.source()),
-            forecast: reading.map_or(Forecast::default(), |r| r.basis()),
+            copy_from: prefill.and_then(|p| p.source()),
+            forecast: prefill.map_or(Forecast::default(), |p| p.forecast()),
             level: self.ledger.settled(customer),
             floor: self.ledger.floor(),
-            // CAST: sessions are numbered by `u32`.
+            // CAST: session numbers have 32 bits.
             routers: self.sessions.len() as u32,
             running: u32::try_from(self.running.len()).unwrap_or(u32::MAX),
             busy: self.slots.busy_percent(),
@@ -649,7 +667,7 @@
     fn remove_ask(&mut self, session: Session, seq: Seq) {
         let key = (session, seq);
         let Some(ask) = self.queue.remove(key) else {
-            self.remotes.retain(|(other, _)| *other != key);
+            self.remote_asks.retain(|(other, _)| *other != key);
             return;
         };
         let customer = ask.class.customer;
@@ -658,6 +676,7 @@
         }
     }
 
+    /// Ends a request: settles its cost, and releases its slot and its class.
     fn end(
         &mut self,
         now: Millis,
@@ -673,14 +692,15 @@
         *self.served.entry(running.class.customer).or_default() += amount;
         self.grown.insert(running.class.customer);
         let change = self.slots.release(now, running.endpoint, verdict);
-        if let Some(reading) = &running.reading {
-            self.slots.end_prefill(now, running.endpoint, reading);
+        if let Some(prefill) = &running.prefill {
+            self.slots.end_prefill(now, running.endpoint, prefill);
         }
         let class = self.class(now, running.class);
         class.running = class.running.saturating_sub(1);
         Some((running, change))
     }
 
+    /// Ends all requests of a session.
     fn drop_running(&mut self, now: Millis, session: Session) {
         self.orphans.remove(&session);
         let range = (session, Seq(0))..=(session, Seq(u64::MAX));
@@ -688,18 +708,19 @@
             .map(|((_, seq), running)| (*seq, running.charged))
             .collect();
         for (seq, charged) in lost {
-            // What was charged so far is what is known to have been received.
+            // The cost charged so far is the service that is known to have been received.
             self.end(now, session, seq, charged, None);
         }
     }
 
+    /// The state of a class, which is created if needed.
     fn class(&mut self, now: Millis, class: Class) -> &mut ClassState {
         let class = self.classes.entry(class).or_insert_with(|| ClassState {
             running: 0,
             bucket: None,
-            used: now,
+            used_at: now,
         });
-        class.used = now;
+        class.used_at = now;
         class
     }
 }
--- a/components/coordination/src/scheduler/next.rs
+++ b/components/coordination/src/scheduler/next.rs
@@ -1,19 +1,20 @@
-//! Whose request gets the next free slot, and where.
+//! Selection of the ask that is granted next, and of its endpoint.
 
 use super::queue::Key;
 use super::Scheduler;
 use crate::prelude::*;
 use crate::slot::{Criteria, Reservations};
 
-/// Asks that are looked at for one grant. Those behind them wait anyway, and each
-/// costs a look at some tens of engines.
-const LOOK: usize = 24;
-/// Asks of the customer whose turn it is that are looked at before one of another.
-const TURN: usize = 8;
-/// Remote asks among whom the least served is sought.
-const REMOTES: usize = 64;
+/// Most asks that are examined for one grant. Asks behind them wait in any case, and each
+/// examination visits some tens of engines.
+const EXAMINED_MAX: usize = 24;
+/// Asks of the customer with the least service that are examined before one of another
+/// customer.
+const FIRST_CUSTOMER_ASKS: usize = 8;
+/// Asks of other regions among which the customer with the least service is searched.
+const REMOTE_ASKS_EXAMINED: usize = 64;
 
-/// An ask whose turn has come.
+/// An ask that can be granted now.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Next {
     pub(super) key: Key,
@@ -21,128 +22,131 @@
     pub(super) endpoint: EndpointId,
 }
 
-/// What a look at an ask shows.
-enum Look {
-    /// It is to start.
-    Start(Next),
-    /// It is better off waiting.
+/// Result of the examination of an ask.
+enum Outcome {
+    /// The ask can be granted.
+    Grant(Next),
+    /// The ask is better off waiting.
     Wait,
-    /// There is no such ask.
+    /// The customer has no such ask.
     Missing,
 }
 
 impl Scheduler {
-    /// The ask to serve next, and where.
+    /// The ask to grant next, with its endpoint.
     ///
-    /// Customers come by the service that they have received, and each one's asks
-    /// in their order. An ask that is better off waiting for its endpoint is passed
-    /// over, but what it will take there counts for those behind it.
+    /// Customers are ordered by the service that they have received, and the asks of each
+    /// customer by priority and deadline. An ask that is better off waiting for its endpoint is
+    /// passed over, but reserves its work there before the asks behind it.
     pub(super) fn next(&mut self, now: Millis) -> Option<Next> {
         if !self.may_grant(now) {
             return None;
         }
-        let mut claims = Reservations::default();
-        let is_pressed = self.pace.is_pressed(now);
-        let in_time = self.next_own(now, is_pressed, &mut claims);
+        let mut reservations = Reservations::default();
+        let is_saturated = self.throughput.is_saturated(now);
+        let in_time = self.next_own(now, is_saturated, &mut reservations);
         if in_time.is_some() {
             return in_time;
         }
-        // What is late takes an engine from what would be in time behind it.
-        let late = match claims.is_late_only() {
-            true => self.next_own(now, false, &mut claims),
+        // A late ask must not take an engine from an ask behind it that would be in time.
+        let late = match reservations.is_late_only() {
+            true => self.next_own(now, false, &mut reservations),
             false => None,
         };
         late.or_else(|| self.next_remote(now))
     }
 
-    /// Whether any engine would take any ask that can be looked at: if none would, the
-    /// look is spared.
+    /// Whether any endpoint might accept any waiting ask; if not, none is examined.
     fn may_grant(&mut self, now: Millis) -> bool {
         let own = self.queue.longest_aim_ms();
-        let remotes = self.remotes.iter().take(REMOTES);
+        let remotes = self.remote_asks.iter().take(REMOTE_ASKS_EXAMINED);
         let remote = remotes.map(|(_, ask)| ask.aim_ms).max();
         let aim_ms = own.max(remote);
         aim_ms.is_some_and(|aim_ms| self.slots.may_begin(now, u64::from(aim_ms)))
     }
 
-    /// The same among the asks of this region: some of the customer that has least service,
-    /// then one of each customer, and so on.
+    /// The ask of this region to grant next: some asks of the customer with the least service
+    /// are examined, then one of each customer in turn.
     ///
-    /// The oldest asks of a customer that floods cannot start: they are late everywhere, or
-    /// wait for their engine. If each of them lost it the turn, a customer that asks for most
-    /// would get least.
+    /// Often the oldest asks of a customer with excess demand cannot be granted, as they are
+    /// late everywhere or wait for their engine. If each of them cost the customer its turn,
+    /// the customer with the highest demand would get the least service.
     fn next_own(
         &mut self,
         now: Millis,
         only_in_time: bool,
-        claims: &mut Reservations,
+        reservations: &mut Reservations,
     ) -> Option<Next> {
         let customers: SmallVec<[CustomerId; 32]> = self.ledger.backlogged().collect();
         let (first, _) = customers.split_first()?;
-        let mut looked = 0;
-        for n in 0..TURN {
-            looked += 1;
-            match self.look(now, *first, n, only_in_time, claims) {
-                Look::Start(next) => return Some(next),
-                Look::Wait => {}
-                Look::Missing => break,
+        let mut examined = 0;
+        for n in 0..FIRST_CUSTOMER_ASKS {
+            examined += 1;
+            match self.examine(now, *first, n, only_in_time, reservations) {
+                Outcome::Grant(next) => return Some(next),
+                Outcome::Wait => {}
+                Outcome::Missing => break,
             }
         }
-        for round in 0..LOOK {
-            let mut any = false;
-            for (place, customer) in customers.iter().enumerate() {
-                if looked > LOOK {
+        for round in 0..EXAMINED_MAX {
+            let mut found_any = false;
+            for (position, customer) in customers.iter().enumerate() {
+                if examined > EXAMINED_MAX {
                     return None;
                 }
-                looked += 1;
-                let n = if place == 0 { round + TURN } else { round };
-                match self.look(now, *customer, n, only_in_time, claims) {
-                    Look::Start(next) => return Some(next),
-                    Look::Wait => any = true,
-                    Look::Missing => {}
+                examined += 1;
+                let n = if position == 0 {
+                    round + FIRST_CUSTOMER_ASKS
+                } else {
+                    round
+                };
+                match self.examine(now, *customer, n, only_in_time, reservations) {
+                    Outcome::Grant(next) => return Some(next),
+                    Outcome::Wait => found_any = true,
+                    Outcome::Missing => {}
                 }
             }
-            if !any {
+            if !found_any {
                 break;
             }
         }
         None
     }
 
-    /// Looks at the `n`th ask of a customer.
-    fn look(
+    /// Examines the `n`th ask of a customer.
+    fn examine(
         &mut self,
         now: Millis,
         customer: CustomerId,
         n: usize,
         only_in_time: bool,
-        claims: &mut Reservations,
-    ) -> Look {
+        reservations: &mut Reservations,
+    ) -> Outcome {
         let Some((key, waiting)) = self.queue.of(customer).nth(n) else {
-            return Look::Missing;
+            return Outcome::Missing;
         };
         let ask = waiting.ask;
         let criteria = waiting.criteria(now, key.0, only_in_time);
-        if !self.may_start(now, &ask) {
-            return Look::Wait;
+        if !self.is_within_limits(now, &ask) {
+            return Outcome::Wait;
         }
-        match self.slots.choose(now, criteria, claims) {
-            Some(endpoint) => Look::Start(Next { key, ask, endpoint }),
-            None => Look::Wait,
+        match self.slots.choose(now, criteria, reservations) {
+            Some(endpoint) => Outcome::Grant(Next { key, ask, endpoint }),
+            None => Outcome::Wait,
         }
     }
 
-    /// Whether the limits of an ask's class let it start.
-    pub(super) fn may_start(&mut self, now: Millis, ask: &Ask) -> bool {
+    /// Whether the concurrency and rate limits of an ask's class allow another request.
+    pub(super) fn is_within_limits(&mut self, now: Millis, ask: &Ask) -> bool {
         let class = self.class(now, ask.class);
         let full = ask.concurrency != 0 && class.running >= ask.concurrency;
         !full && class.bucket.as_mut().is_none_or(|b| b.has_token(now))
     }
 
-    /// The remote ask to serve next, once nobody of this region can start: of the
-    /// first few, the least served one.
+    /// The ask of another region to grant next, when no ask of this region can be granted: of
+    /// the first ones, that of the customer with the least service.
     pub(super) fn next_remote(&mut self, now: Millis) -> Option<Next> {
-        let first = self.remotes.iter().take(REMOTES);
+        let first = self.remote_asks.iter().take(REMOTE_ASKS_EXAMINED);
         let level = |(_, ask): &&(Key, Ask)| self.ledger.level(ask.class.customer);
         let (key, ask) = first.min_by_key(level).copied()?;
         let criteria = Criteria {
--- a/components/coordination/src/scheduler/queue.rs
+++ b/components/coordination/src/scheduler/queue.rs
@@ -1,4 +1,4 @@
-//! Asks that wait at a scheduler, by customer.
+//! Queue of the asks that wait at a scheduler, by customer.
 
 use super::Session;
 use crate::messages::Seq;
@@ -6,27 +6,28 @@
 use crate::slot::Criteria;
 use std::collections::btree_map::{BTreeMap, Entry};
 
-/// Part of the time to its aim for which an ask may be expected to wait, in
-/// hundredths; the rest is for reading its prompt and for the way.
-const PATIENCE_PERCENT: u64 = 40;
+/// Longest expected wait at which an ask is admitted, in percent of its latency target. The
+/// rest is for the prefill and the network.
+const WAIT_MAX_PERCENT: u64 = 40;
 
-/// Names an ask: its session and its number there.
+/// Identifies an ask by its session and its number there.
 pub(super) type Key = (Session, Seq);
 
-/// Place among the asks of one customer: the highest rank first, then the one that is
-/// late first.
+/// Order of the asks of one customer: by priority, then by deadline.
 ///
-/// By arrival, short requests would wait behind long ones that have time: one would see
-/// them refused or late most.
+/// In the order of arrival, short requests would wait behind long ones that have time to
+/// spare, and would be refused or late most often.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Order {
+    /// 0 is the most urgent.
     priority: u8,
-    /// When its caller counts an answer as late.
+    /// When an answer becomes late.
     late_at: Millis,
+    /// Number of asks that arrived before.
     arrival: u64,
 }
 
-/// An ask that waits.
+/// An ask in the queue.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Waiting {
     pub(super) ask: Ask,
@@ -35,12 +36,12 @@
 }
 
 impl Waiting {
-    /// Time for which it may wait in all, in milliseconds.
-    pub(super) fn patience_ms(&self) -> u64 {
-        u64::from(self.ask.aim_ms) * PATIENCE_PERCENT / 100
+    /// Longest expected wait at which the ask is admitted, in milliseconds.
+    pub(super) fn wait_max_ms(&self) -> u64 {
+        u64::from(self.ask.aim_ms) * WAIT_MAX_PERCENT / 100
     }
 
-    /// What it looks for in an endpoint; with `only_in_time`, one that answers in time.
+    /// Criteria for the endpoint; with `only_in_time`, one that answers in time.
     pub(super) fn criteria(&self, now: Millis, of: Session, only_in_time: bool) -> Criteria {
         Criteria {
             session: Some(of.0),
@@ -52,27 +53,28 @@
         }
     }
 
-    /// Time that is left until its caller counts an answer as late, in
-    /// milliseconds.
+    /// Time until an answer becomes late, in milliseconds.
     pub(super) fn slack_ms(&self, now: Millis) -> u64 {
         u64::from(self.ask.aim_ms).saturating_sub(now.since(self.since))
     }
 }
 
-/// All asks of a shard's own region.
+/// All waiting asks of a shard's own region.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Queue {
     asks: BTreeMap<Key, Waiting>,
+    /// Asks of each customer in their order.
     customers: BTreeMap<CustomerId, BTreeMap<Order, Key>>,
-    /// Expected cost of each customer's asks together.
+    /// Total expected cost of the asks of each customer.
     costs: BTreeMap<CustomerId, u64>,
-    /// How many asks have each aim, in milliseconds.
+    /// Number of asks with each latency target in milliseconds.
     aims: BTreeMap<u32, usize>,
+    /// Number of asks so far.
     arrivals: u64,
 }
 
 impl Queue {
-    /// Adds an ask; one that is known already stays as it is.
+    /// Adds an ask, unless an ask with its key is in the queue.
     pub(super) fn insert(&mut self, now: Millis, key: Key, ask: Ask) {
         if self.asks.contains_key(&key) {
             return;
@@ -114,17 +116,17 @@
         Some(ask)
     }
 
-    /// An ask.
+    /// The ask with a key.
     pub(super) fn get(&self, key: Key) -> Option<&Waiting> {
         self.asks.get(&key)
     }
 
-    /// The longest aim of an ask, in milliseconds; `None` if there are none.
+    /// The longest latency target of an ask, in milliseconds; `None` if the queue is empty.
     pub(super) fn longest_aim_ms(&self) -> Option<u32> {
         self.aims.last_key_value().map(|(aim_ms, _)| *aim_ms)
     }
 
-    /// Whether a customer has an ask here.
+    /// Whether a customer has an ask in the queue.
     pub(super) fn has_any_of(&self, customer: CustomerId) -> bool {
         self.customers.contains_key(&customer)
     }
@@ -135,14 +137,14 @@
         keys.filter_map(|(_, key)| Some((*key, self.asks.get(key)?)))
     }
 
-    /// Expected cost of what is served before a customer's ask that has `ahead` of
-    /// its own customer's before it: each customer gets as much as that one, or all
-    /// that it asks for.
+    /// Expected cost of all asks that are served before an ask, which is preceded by asks of
+    /// its own customer with the cost `ahead`: each customer is served as much as that one, or
+    /// everything that it asks for.
     pub(super) fn cost_before(&self, ahead: u64) -> u64 {
         self.costs.values().map(|cost| ahead.min(*cost)).sum()
     }
 
-    /// Expected cost of the asks of its customer that come before an ask.
+    /// Expected cost of the asks of the same customer that precede an ask.
     pub(super) fn cost_ahead(&self, key: Key) -> u64 {
         let Some(customer) = self.asks.get(&key).map(|w| w.ask.class.customer) else {
             return 0;
@@ -151,18 +153,18 @@
         before.map(|(_, w)| u64::from(w.ask.hint)).sum()
     }
 
-    /// Customers with asks.
+    /// Customers with asks in the queue.
     pub(super) fn customers(&self) -> impl Iterator<Item = CustomerId> + '_ {
         self.customers.keys().copied()
     }
 
-    /// Asks of a session.
+    /// Numbers of the asks of a session.
     pub(super) fn of_session(&self, session: Session) -> Vec<Seq> {
         let range = (session, Seq(0))..=(session, Seq(u64::MAX));
         self.asks.range(range).map(|((_, seq), _)| *seq).collect()
     }
 
-    /// Asks that wait.
+    /// Number of asks in the queue.
     pub(super) fn len(&self) -> usize {
         self.asks.len()
     }
--- a/components/coordination/tests/pressure.rs
+++ b/components/coordination/tests/pressure.rs
@@ -133,7 +133,7 @@
     let reading = slots
         .acquire(now, ENGINE, Prompt::new([(1, 4000)], 50))
         .unwrap();
-    let first = u64::from(reading.basis().first_ms);
+    let first = u64::from(reading.forecast().first_ms);
     let almost = now.after(first - 5);
     let chosen = slots.choose(almost, criteria(600, 300), &mut Reservations::default());
     assert_eq!(chosen, Some(ENGINE));
@@ -180,7 +180,7 @@
     let now = Millis(1000);
     let reading = slots.acquire(now, ENGINE, Prompt::new([(7, 500), (8, 4500)], 50));
     // It has read its prompt; the first event is still to come.
-    let read = now.after(u64::from(reading.unwrap().basis().first_ms) - 10);
+    let read = now.after(u64::from(reading.unwrap().forecast().first_ms) - 10);
     let next = Criteria {
         prompt: Prompt::new([(7, 500), (9, 600)], 50),
         ..criteria(0, 800)
