--- a/components/coordination/tests/arrivals/mod.rs
+++ b/components/coordination/tests/arrivals/mod.rs
@@ -1,4 +1,4 @@
-//! Requests at a router, and grants for them, as tests build them.
+//! Requests that arrive at a router, and grants for them.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use coordination::dispatcher::{Arrival, Bounds, Dispatcher, Location};
@@ -8,7 +8,7 @@
 use state::clock::Millis;
 use state::id::{CustomerId, EndpointId, Epoch, Name, ServiceId};
 
-/// A request of customer 1 that is on time for a minute.
+/// A request of customer 1 with a latency target of one minute.
 pub(crate) fn arrival(service: ServiceId) -> Arrival {
     Arrival {
         service,
@@ -46,7 +46,7 @@
     }
 }
 
-/// A dispatcher with room for all that a test sends.
+/// A dispatcher with bounds that no test reaches.
 pub(crate) fn dispatcher(region: Name, data_centre: Name, incarnation: u64) -> Dispatcher {
     let home = Location {
         region,
--- a/components/coordination/tests/asks/mod.rs
+++ b/components/coordination/tests/asks/mod.rs
@@ -1,10 +1,10 @@
-//! An ask as tests of placement and turning away build it.
+//! Asks for the tests of placement and refusal.
 
 use coordination::messages::{Ask, Class, Seq};
 use coordination::prompt::Prompt;
 use state::id::CustomerId;
 
-/// An ask of customer 1 without limits.
+/// An ask of customer 1, without rate and concurrency limits.
 pub(crate) fn ask(seq: u64, prompt: Prompt, aim_ms: u32, hint: u32) -> Ask {
     Ask {
         seq: Seq(seq),
--- a/components/coordination/tests/cold.rs
+++ b/components/coordination/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Endpoints that are cold, and bear few requests a second until they are warm.
+//! Limits on the rate of requests to cold endpoints.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
 mod arrivals;
@@ -25,28 +25,30 @@
 use std::collections::BTreeMap;
 use views::{add, assign, name, view, SERVICE};
 
-/// Requests that a cold endpoint bears, in thousandths a second.
+/// Rate of requests that a cold endpoint can serve, in thousandths of a request per second.
 const RATE: u32 = 8400;
-/// Requests in a second that a cold endpoint may get at most: the rate, and one.
-const MOST: usize = 9;
-/// Requests in a second at which it would crash.
-const CRASH: usize = 18;
+/// Most requests that a cold endpoint may get in any second: the rate plus one.
+const MAX_PER_S: usize = 9;
+/// Requests in a second at which a cold endpoint would crash.
+const CRASH_PER_S: usize = 18;
+/// The cold endpoint.
 const COLD: EndpointId = EndpointId(1);
-/// Tokens that an endpoint reads in a millisecond.
+/// Tokens that an endpoint prefills in a millisecond.
 const TOKENS_PER_MS: u32 = 50;
 
-/// Most moments in any second.
-fn most(moments: &[u64]) -> usize {
+/// The largest number of `times`, in milliseconds, in any second.
+fn max_per_second(times: &[u64]) -> usize {
     let within = |from: u64| {
-        moments
+        times
             .iter()
             .filter(|at| (from..from + 1000).contains(at))
             .count()
     };
-    moments.iter().map(|from| within(*from)).max().unwrap_or(0)
+    times.iter().map(|from| within(*from)).max().unwrap_or(0)
 }
 
-/// A scheduler of plain endpoints or engines whose first one is cold until `until`.
+/// A scheduler of three endpoints, the first of which is cold until `until`. They are engines if
+/// `memory` is given.
 fn scheduler(epoch: u64, now: Millis, memory: Option<u64>, until: Millis) -> Scheduler {
     let mut scheduler = Scheduler::new(Epoch(epoch), now);
     let slots = scheduler.slots();
@@ -59,17 +61,19 @@
     scheduler
 }
 
-/// What a load of short requests makes a scheduler grant, by endpoint and moment.
+/// A load of short requests on a scheduler.
 struct Load {
     scheduler: Scheduler,
     session: scheduler::Session,
     /// Tokens of a prompt.
     tokens: u32,
-    next: u64,
+    /// Number of the last ask.
+    last_ask: u64,
+    /// Endpoint and time of each grant.
     granted: Vec<(EndpointId, u64)>,
-    /// Until when each endpoint reads the prompts that it was sent.
-    reads: BTreeMap<EndpointId, u64>,
-    /// Requests in progress, by the moment of their first byte.
+    /// When each endpoint will have prefilled its prompts.
+    prefill_ends: BTreeMap<EndpointId, u64>,
+    /// Times of the grants of the requests in progress, by the time of the first byte.
     running: BTreeMap<(u64, Seq), u64>,
 }
 
@@ -80,22 +84,22 @@
             scheduler,
             session,
             tokens: 1,
-            next: 0,
+            last_ask: 0,
             granted: Vec::new(),
-            reads: BTreeMap::new(),
+            prefill_ends: BTreeMap::new(),
             running: BTreeMap::new(),
         }
     }
 
-    /// One request a millisecond; each endpoint reads one prompt after the other.
+    /// Sends one request per millisecond; each endpoint prefills one prompt after the other.
     fn run(&mut self, from: u64, to: u64) {
         for at in from..to {
             let now = Millis(at);
-            self.next += 1;
+            self.last_ask += 1;
             let mut effects = self.scheduler.ask(
                 now,
                 self.session,
-                ask(self.next, Prompt::unshared(self.tokens, 1), 60_000, 100),
+                ask(self.last_ask, Prompt::unshared(self.tokens, 1), 60_000, 100),
             );
             while let Some(entry) = self.running.first_entry().filter(|e| e.key().0 <= at) {
                 let ((_, seq), sent) = entry.remove_entry();
@@ -120,49 +124,59 @@
 
     fn grant(&mut self, at: u64, grant: &Grant) {
         self.granted.push((grant.endpoint, at));
-        let reads = self.reads.entry(grant.endpoint).or_insert(0);
-        *reads = (*reads).max(at) + u64::from(self.tokens / TOKENS_PER_MS);
-        self.running.insert((*reads + 10, grant.seq), at);
+        let ends = self.prefill_ends.entry(grant.endpoint).or_insert(0);
+        *ends = (*ends).max(at) + u64::from(self.tokens / TOKENS_PER_MS);
+        self.running.insert((*ends + 10, grant.seq), at);
     }
 
-    fn moments(&self, of: EndpointId) -> Vec<u64> {
+    /// Times of the grants for an endpoint.
+    fn grant_times(&self, of: EndpointId) -> Vec<u64> {
         let all = self.granted.iter().filter(|(endpoint, _)| *endpoint == of);
         all.map(|(_, at)| *at).collect()
     }
 }
 
-/// Guards against a cold endpoint that crashes again, since its free slots attract all that
-/// waits, and against work that waits for it beside others.
+/// Guards against a cold endpoint that crashes again because its free slots attract all waiting
+/// requests, and against requests that wait for it while other endpoints are free.
 #[test]
-fn can_pace_a_cold_endpoint_while_others_carry_the_load() {
+fn can_pace_a_cold_endpoint_while_others_serve_the_load() {
     let mut load = Load::new(scheduler(1, Millis(0), None, Millis(6000)), Millis(0));
     load.run(0, 6000);
-    let cold = load.moments(COLD);
+    let cold = load.grant_times(COLD);
     assert!((30..=50).contains(&cold.len()), "{}", cold.len());
-    assert!(most(&cold) <= MOST, "{}", most(&cold));
+    assert!(
+        max_per_second(&cold) <= MAX_PER_S,
+        "{}",
+        max_per_second(&cold)
+    );
     assert!(load.granted.len() > 5000, "{}", load.granted.len());
     load.run(6000, 8000);
-    let warm = load.moments(COLD).len() - cold.len();
+    let warm = load.grant_times(COLD).len() - cold.len();
     assert!(warm > 200, "{warm} requests once it is warm");
 }
 
-/// Guards against the same at model engines that have as much to read as they can.
+/// Guards against a cold engine that crashes again while the other engines are saturated with
+/// prefill.
 #[test]
-fn can_pace_a_cold_engine_beside_engines_that_are_full() {
+fn can_pace_a_cold_engine_beside_saturated_engines() {
     let scheduler = scheduler(1, Millis(0), Some(500_000), Millis(6000));
     let mut load = Load::new(scheduler, Millis(0));
     load.tokens = 150;
     load.run(0, 6000);
-    let cold = load.moments(COLD);
+    let cold = load.grant_times(COLD);
     assert!((30..=50).contains(&cold.len()), "{}", cold.len());
-    assert!(most(&cold) <= MOST, "{}", most(&cold));
+    assert!(
+        max_per_second(&cold) <= MAX_PER_S,
+        "{}",
+        max_per_second(&cold)
+    );
     load.run(6000, 8000);
-    let warm = load.moments(COLD).len() - cold.len();
+    let warm = load.grant_times(COLD).len() - cold.len();
     assert!(warm > 200, "{warm} requests once it is warm");
 }
 
-/// Guards against requests that were granted before the endpoint was known to be cold, and
-/// are not counted.
+/// Guards against requests that are not counted because they were granted before the endpoint
+/// was known to be cold.
 #[test]
 fn can_pace_an_endpoint_that_turns_cold_under_load() {
     let scheduler = scheduler(1, Millis(0), None, Millis(0));
@@ -171,26 +185,35 @@
     let slots = load.scheduler.slots();
     slots.set_cold(Millis(3000), COLD, Millis(6000), 0);
     load.run(3000, 6000);
-    let moments = load.moments(COLD);
-    let after: Vec<u64> = moments.into_iter().filter(|at| *at >= 3000).collect();
+    let times = load.grant_times(COLD);
+    let after: Vec<u64> = times.into_iter().filter(|at| *at >= 3000).collect();
     assert!(after.iter().all(|at| *at >= 3980), "{after:?}");
-    assert!(most(&after) <= MOST, "{}", most(&after));
+    assert!(
+        max_per_second(&after) <= MAX_PER_S,
+        "{}",
+        max_per_second(&after)
+    );
 }
 
-/// Guards against a new scheduler that does not know what its predecessor has granted.
+/// Guards against a rate that is exceeded because a new scheduler does not know the grants of
+/// its predecessor.
 #[test]
 fn can_pace_a_cold_endpoint_through_a_change_of_scheduler() {
     let mut first = Load::new(scheduler(1, Millis(0), None, Millis(9000)), Millis(0));
     first.run(0, 4000);
     let mut second = Load::new(scheduler(2, Millis(3990), None, Millis(9000)), Millis(3990));
     second.run(4000, 8000);
-    let mut both = first.moments(COLD);
-    both.extend(second.moments(COLD));
+    let mut both = first.grant_times(COLD);
+    both.extend(second.grant_times(COLD));
     assert!(both.len() > 40, "{}", both.len());
-    assert!(most(&both) <= MOST, "{}", most(&both));
+    assert!(
+        max_per_second(&both) <= MAX_PER_S,
+        "{}",
+        max_per_second(&both)
+    );
 }
 
-/// A view of engines, the first of which is cold for 20 s.
+/// A view of engines, the first of which is cold for 20 seconds.
 fn cold_view() -> View {
     let engine = Engine {
         memory_tokens: 500_000,
@@ -211,7 +234,8 @@
     view
 }
 
-/// A router that a scheduler has told how many routers there are, if any has.
+/// A router that has lost its scheduler, with the number of routers that the scheduler has
+/// reported, if any.
 fn router(incarnation: u64, view: &View, routers: Option<u32>) -> Dispatcher {
     let mut dispatcher = arrivals::dispatcher(name("main"), name("dc-1"), incarnation);
     dispatcher.link_up(Millis(0), &name("s-0"));
@@ -231,29 +255,29 @@
     dispatcher
 }
 
-/// Moments at which routers without a scheduler send to the cold endpoint, at a load of one
-/// request in 50 ms each.
-fn shared_out(routers: &mut [Dispatcher], view: &View, to: u64) -> Vec<u64> {
-    let mut moments = Vec::new();
+/// Times at which routers without a scheduler send requests to the cold endpoint, at a load of
+/// one request in 50 ms for each router.
+fn sent_without_scheduler(routers: &mut [Dispatcher], view: &View, to: u64) -> Vec<u64> {
+    let mut times = Vec::new();
     for at in (LOCAL_AFTER_MS..to).step_by(10) {
         let now = Millis(at);
         for router in routers.iter_mut() {
             let mut effects = Vec::new();
             if at % 50 == 0 {
-                // What it cannot serve in time it refuses.
+                // The router refuses requests that it cannot serve in time.
                 let arrived = router.arrive(now, view, arrival(SERVICE));
                 effects.extend(arrived.map(|(_, e)| e).unwrap_or_default());
             }
             effects.extend(router.tick(now, view));
             let sent = effects.iter().filter(|e| matches!(e, Effect::Dispatch(..)));
-            moments.extend(sent.map(|_| at));
+            times.extend(sent.map(|_| at));
         }
     }
-    moments
+    times
 }
 
-/// Guards against routers that lose their scheduler, each of which gives the cold endpoint
-/// all that it bears.
+/// Guards against routers without a scheduler each of which sends the full rate to the cold
+/// endpoint.
 #[test]
 fn can_share_the_rate_of_a_cold_endpoint_among_routers_without_a_scheduler() {
     let view = cold_view();
@@ -261,21 +285,29 @@
     let mut routers: Vec<Dispatcher> = all
         .map(|n| router(n.wrapping_mul(0x9e37_79b9_7f4a_7c15), &view, Some(86)))
         .collect();
-    let moments = shared_out(&mut routers, &view, 20_000);
-    assert!(moments.len() > 60, "{}", moments.len());
-    assert!(most(&moments) < CRASH, "{}", most(&moments));
+    let times = sent_without_scheduler(&mut routers, &view, 20_000);
+    assert!(times.len() > 60, "{}", times.len());
+    assert!(
+        max_per_second(&times) < CRASH_PER_S,
+        "{}",
+        max_per_second(&times)
+    );
 }
 
-/// Guards against routers that have just started, and do not know how many share the rate.
+/// Guards against routers that have just started, and do not know how many routers share the
+/// rate.
 #[test]
-fn can_leave_a_cold_endpoint_alone_where_nobody_has_counted_the_routers() {
+fn can_avoid_a_cold_endpoint_while_the_number_of_routers_is_unknown() {
     let view = cold_view();
     let mut routers = [router(1, &view, None), router(2, &view, None)];
-    assert_eq!(shared_out(&mut routers, &view, 19_000), [0_u64; 0]);
+    assert_eq!(
+        sent_without_scheduler(&mut routers, &view, 19_000),
+        [0_u64; 0]
+    );
 }
 
-/// Guards against a data centre whose endpoints are all cold when it is in use again, and
-/// which the list of endpoints does not show yet.
+/// Guards against full load on the endpoints of a data centre that is in use again after an
+/// evacuation: they are cold, which the list of endpoints does not show yet.
 #[test]
 fn can_count_endpoints_as_cold_after_an_evacuation() {
     let mut view = cold_view();
@@ -286,17 +318,18 @@
         version: Version(5),
         at: 1_000_000,
     };
-    let mut returns = Failbacks::default();
+    let mut failbacks = Failbacks::default();
     view.evacuations.insert(name("dc-2"), evacuation);
-    returns.mark_cold(Millis(100), 1_000_000, &mut view);
+    failbacks.mark_cold(Millis(100), 1_000_000, &mut view);
     assert!(view.warm_at.is_empty());
     evacuation.is_in_force = false;
     evacuation.version = Version(6);
     view.evacuations.insert(name("dc-2"), evacuation);
-    returns.mark_cold(Millis(200), 2_000_000, &mut view);
+    failbacks.mark_cold(Millis(200), 2_000_000, &mut view);
     assert_eq!(view.warm_at.get(&EndpointId(2)), Some(&Millis(3200)));
     assert_eq!(view.warm_at.get(&COLD), None);
-    // One that has just started counts from its start; long after it, nothing does.
+    // A process that has just started counts from its own start, unless the evacuation has
+    // ended long ago.
     let mut late = view.clone();
     late.warm_at.clear();
     Failbacks::default().mark_cold(Millis(50), 3_000_000, &mut late);
@@ -313,8 +346,8 @@
     }
 }
 
-/// Guards against a list that changes with each reading, since the times of cold endpoints
-/// run down, and against one that keeps a new cold time back.
+/// Guards against a list that counts as changed with each reading because the remaining times
+/// of cold endpoints decrease, and against one that ignores a new cold time.
 #[test]
 fn can_follow_cold_times_without_a_change_at_each_reading() {
     let id = listed("a", 0).id();
@@ -334,20 +367,24 @@
     assert!(registry.apply_reading(Millis(6000), vec![listed("a", 3000)], 5));
 }
 
-/// Guards against a ramp that lets more through after a pause.
+/// Guards against a pacer that admits a burst after a pause.
 #[test]
 fn can_space_requests_evenly_after_a_pause() {
-    let mut ramp = Pacer::new(Millis(60_000), RATE, Millis(0));
-    assert!(!ramp.admits(Millis(999)));
-    let mut moments = Vec::new();
+    let mut pacer = Pacer::new(Millis(60_000), RATE, Millis(0));
+    assert!(!pacer.admits(Millis(999)));
+    let mut times = Vec::new();
     for at in (1000..3000).chain(20_000..23_000) {
-        if ramp.admits(Millis(at)) {
-            ramp.take(Millis(at));
-            moments.push(at);
+        if pacer.admits(Millis(at)) {
+            pacer.take(Millis(at));
+            times.push(at);
         }
     }
-    assert!(most(&moments) <= MOST, "{}", most(&moments));
-    assert!(moments.len() >= 40, "{}", moments.len());
+    assert!(
+        max_per_second(&times) <= MAX_PER_S,
+        "{}",
+        max_per_second(&times)
+    );
+    assert!(times.len() >= 40, "{}", times.len());
     assert!(!Pacer::new(Millis(5000), 0, Millis(0)).admits(Millis(4999)));
     assert!(Pacer::new(Millis(5000), 0, Millis(0)).admits(Millis(5000)));
 }
--- a/components/coordination/tests/engines/mod.rs
+++ b/components/coordination/tests/engines/mod.rs
@@ -1,14 +1,14 @@
-//! Model engines that read prompts in the order of their arrival at a bounded rate, keep
-//! what they have read, and then generate.
+//! Simulated inference engines, which prefill prompts in the order of their arrival at a bounded
+//! rate, cache the parts, and then generate the answers.
 
 use std::collections::{BTreeSet, VecDeque};
 
-/// Tokens that an engine reads in a millisecond.
+/// Tokens that an engine prefills in a millisecond.
 pub(crate) const TOKENS_PER_MS: u64 = 40;
 /// Time to generate an answer, in milliseconds.
 const GENERATE_MS: u64 = 600;
 
-/// What an engine has come to in one millisecond.
+/// Progress of an engine in one millisecond.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Progress<K> {
     /// The first event of a request.
@@ -17,13 +17,16 @@
     Ended(K),
 }
 
-/// One engine, whose requests have keys of one kind.
+/// One engine, whose requests are identified by keys.
 #[derive(Clone, Debug)]
 pub(crate) struct Engine<K> {
+    /// Requests to prefill, with the tokens that are left.
     waiting: VecDeque<(K, u64)>,
-    kept: BTreeSet<u64>,
+    /// Identities of the cached parts.
+    cached: BTreeSet<u64>,
+    /// Requests that generate, with the times of their ends.
     generating: VecDeque<(u64, K)>,
-    /// Tokens read so far.
+    /// Tokens prefilled so far.
     pub(crate) prefilled_tokens: u64,
 }
 
@@ -31,7 +34,7 @@
     fn default() -> Self {
         Engine {
             waiting: VecDeque::new(),
-            kept: BTreeSet::new(),
+            cached: BTreeSet::new(),
             generating: VecDeque::new(),
             prefilled_tokens: 0,
         }
@@ -42,28 +45,28 @@
 where
     K: Copy,
 {
-    /// What it has kept of a prompt's parts, from the first on, in tokens.
+    /// Tokens of the parts at the start of a prompt that are cached.
     pub(crate) fn cached_tokens(&self, parts: &[(u64, u32)]) -> u64 {
-        let kept = parts.iter().take_while(|(id, _)| self.kept.contains(id));
-        kept.map(|(_, tokens)| u64::from(*tokens)).sum()
+        let cached = parts.iter().take_while(|(id, _)| self.cached.contains(id));
+        cached.map(|(_, tokens)| u64::from(*tokens)).sum()
     }
 
-    /// Takes a request of which it has `missing` tokens to read.
-    pub(crate) fn send(&mut self, key: K, parts: &[(u64, u32)], missing: u64) {
-        self.kept.extend(parts.iter().map(|(id, _)| *id));
-        self.waiting.push_back((key, missing));
+    /// Adds a request with `prefill_tokens` to prefill.
+    pub(crate) fn send(&mut self, key: K, parts: &[(u64, u32)], prefill_tokens: u64) {
+        self.cached.extend(parts.iter().map(|(id, _)| *id));
+        self.waiting.push_back((key, prefill_tokens));
     }
 
-    /// One millisecond.
+    /// Advances by one millisecond.
     pub(crate) fn step(&mut self, now: u64) -> Vec<Progress<K>> {
         let mut progress = Vec::new();
         let mut left = TOKENS_PER_MS;
-        while let Some((key, missing)) = self.waiting.front_mut() {
-            let take = left.min(*missing);
-            *missing -= take;
-            left -= take;
-            self.prefilled_tokens += take;
-            if *missing > 0 {
+        while let Some((key, remaining)) = self.waiting.front_mut() {
+            let tokens = left.min(*remaining);
+            *remaining -= tokens;
+            left -= tokens;
+            self.prefilled_tokens += tokens;
+            if *remaining > 0 {
                 break;
             }
             progress.push(Progress::FirstEvent(*key));
--- a/components/coordination/tests/pressure.rs
+++ b/components/coordination/tests/pressure.rs
@@ -1,4 +1,4 @@
-//! Who waits, who is sent and who is turned away where engines have more than they can do.
+//! Order, admission and refusal of asks while the engines are saturated.
 
 mod asks;
 
@@ -10,9 +10,9 @@
 use state::id::{EndpointId, Epoch};
 
 const ENGINE: EndpointId = EndpointId(1);
-/// What is told of a first byte that its scheduler hears of as soon as it comes: it cannot
-/// have come later than that.
-const PROMPTLY: Option<u32> = Some(u32::MAX);
+/// Time to the first byte in a report that arrives without delay: it is bounded by the time of
+/// receipt.
+const NO_DELAY: Option<u32> = Some(u32::MAX);
 
 /// A scheduler of one engine with one router.
 fn scheduler() -> (Scheduler, Session) {
@@ -24,12 +24,13 @@
     (scheduler, session)
 }
 
-/// A request of one customer with a prompt of its own.
+/// An ask of customer 1 for a prompt of its own.
 fn ask(seq: u64, tokens: u32, aim_ms: u32) -> Report {
     let prompt = Prompt::new([(1000 + seq, tokens)], 50);
     Report::Ask(asks::ask(seq, prompt, aim_ms, tokens))
 }
 
+/// Numbers of the asks that were granted.
 fn granted(effects: &Effects) -> Vec<u64> {
     let grants = effects.iter().filter_map(|effect| match effect {
         Effect::Grant(_, grant) => Some(grant.seq.0),
@@ -51,10 +52,10 @@
 
 #[test]
 fn a_short_request_goes_before_a_long_one_that_has_time() {
-    // Symptom: half of the short requests with short aims are refused, while long ones of
-    // the same customer are served with time to spare.
-    // Sequence: one customer asks for both, more than its engines can do.
-    // Cause: its requests were served in the order of their arrival.
+    // Symptom: half of the short requests with short latency targets are refused, while long
+    // requests of the same customer are served with time to spare.
+    // Sequence: one customer sends both kinds, more than its engines can serve.
+    // Cause: the requests of a customer were served in the order of their arrival.
     let (mut scheduler, session) = scheduler();
     let now = Millis(1000);
     assert_eq!(
@@ -63,16 +64,16 @@
     );
     assert!(granted(&scheduler.handle_report(now, session, ask(2, 8000, 900))).is_empty());
     assert!(granted(&scheduler.handle_report(now, session, ask(3, 400, 400))).is_empty());
-    let read = scheduler.handle_report(Millis(1200), session, Report::Began(Seq(1), PROMPTLY));
-    assert_eq!(granted(&read)[0], 3);
+    let effects = scheduler.handle_report(Millis(1200), session, Report::Began(Seq(1), NO_DELAY));
+    assert_eq!(granted(&effects)[0], 3);
 }
 
 #[test]
-fn what_would_be_late_waits_for_what_would_be_in_time() {
-    // Symptom: a third of what is served comes late, and as much is refused.
-    // Sequence: engines are busy for a while; what has waited for too long is sent
-    // first, and makes late what came after it.
-    // Cause: an answer that is late anyway counted as much as one in time.
+fn late_requests_yield_to_requests_in_time() {
+    // Symptom: a third of the served requests are late, and as many are refused.
+    // Sequence: engines are busy for a while; requests that have waited too long are sent
+    // first, and make the requests behind them late.
+    // Cause: a request that is late in any case counted as much as one in time.
     let (mut scheduler, session) = scheduler();
     let now = Millis(1000);
     scheduler.handle_report(now, session, ask(1, 16_000, 800));
@@ -81,33 +82,33 @@
         scheduler.tick(Millis(tick));
     }
     scheduler.handle_report(Millis(1250), session, ask(3, 2000, 400));
-    let read = scheduler.handle_report(Millis(1350), session, Report::Began(Seq(1), PROMPTLY));
-    assert_eq!(granted(&read), [3]);
+    let effects = scheduler.handle_report(Millis(1350), session, Report::Began(Seq(1), NO_DELAY));
+    assert_eq!(granted(&effects), [3]);
 }
 
 #[test]
-fn what_is_late_is_served_where_nothing_else_waits() {
-    // Symptom: engines stand idle while a request that is late is turned away.
+fn a_late_request_is_served_if_nothing_else_waits() {
+    // Symptom: engines stand idle while a late request is refused.
     let (mut scheduler, session) = scheduler();
-    // Reading it takes longer than its aim.
+    // The prefill takes longer than the latency target.
     let sent = scheduler.handle_report(Millis(1000), session, ask(1, 40_000, 300));
     assert_eq!(granted(&sent), [1]);
 }
 
 #[test]
-fn what_is_late_is_refused_soon_while_others_wait() {
-    // Symptom: requests wait for their whole time and are refused in the end.
+fn late_requests_are_refused_soon_while_others_wait() {
+    // Symptom: requests wait for all of their time and are then refused.
     let (mut scheduler, session) = scheduler();
     let mut refused = None;
     for now in (1000..6000_u64).step_by(10) {
-        // 100 tokens a millisecond are asked for, and some 50 are read.
+        // The demand is 100 tokens per millisecond, of which about 50 are prefilled.
         let mut effects = scheduler.handle_report(Millis(now), session, ask(now, 1000, 400));
         effects.extend(scheduler.tick(Millis(now)));
         let old = now.saturating_sub(150);
         effects.extend(scheduler.handle_report(
             Millis(now),
             session,
-            Report::Began(Seq(old), PROMPTLY),
+            Report::Began(Seq(old), NO_DELAY),
         ));
         for effect in effects {
             if let Effect::Refuse(_, refusal) = effect {
@@ -121,23 +122,23 @@
 }
 
 #[test]
-fn an_engine_whose_prompts_are_read_takes_the_next_one() {
-    // Symptom: engines read half of what they could, and short requests are refused.
-    // Sequence: an engine has read all prompts that it was sent; their first events
-    // come some steps later.
-    // Cause: a prompt counted as unread until its first event.
+fn an_engine_whose_prompts_are_prefilled_takes_the_next_one() {
+    // Symptom: engines prefill half of what they could, and short requests are refused.
+    // Sequence: an engine has prefilled all prompts that it was sent; their first events follow
+    // some decoding steps later.
+    // Cause: a prompt counted as backlog until its first event.
     let mut slots = Slots::default();
     slots.set_memory_tokens(Some(700_000));
     slots.set(ENGINE, 64, 0, false);
     let now = Millis(1000);
-    let reading = slots
+    let prefill = slots
         .acquire(now, ENGINE, Prompt::new([(1, 4000)], 50))
         .unwrap();
-    let first = u64::from(reading.forecast().first_ms);
+    let first = u64::from(prefill.forecast().first_ms);
     let almost = now.after(first - 5);
     let chosen = slots.choose(almost, criteria(600, 300), &mut Reservations::default());
     assert_eq!(chosen, Some(ENGINE));
-    // One that should have answered long ago is no idle engine.
+    // An engine that should have answered long ago is not idle.
     let late = now.after(first + 400);
     let chosen = slots.choose(late, criteria(600, 300), &mut Reservations::default());
     assert_eq!(chosen, None);
@@ -145,7 +146,7 @@
 
 #[test]
 fn the_time_to_a_first_event_is_learned_from_short_and_long_prompts() {
-    // An engine that needs 110 ms for its steps and reads 44 tokens in a millisecond.
+    // The engine needs 110 ms for its decoding steps and prefills 44 tokens per millisecond.
     let (mut scheduler, session) = scheduler();
     let mut expected = 0;
     for seq in 0..60 {
@@ -156,59 +157,59 @@
             unreachable!("an idle engine is sent a request");
         };
         expected = u64::from(grant.forecast.first_ms);
-        let took = 4 + 110 + u64::from(tokens) / 44;
-        let first = Millis(now + took);
-        scheduler.handle_report(first, session, Report::Began(Seq(seq), PROMPTLY));
+        let took_ms = 4 + 110 + u64::from(tokens) / 44;
+        let first = Millis(now + took_ms);
+        scheduler.handle_report(first, session, Report::Began(Seq(seq), NO_DELAY));
         scheduler.handle_report(first, session, Report::Done(Seq(seq), 10, Verdict::Fine));
     }
-    // The last one had 6,600 tokens.
+    // The last request had 6,600 tokens.
     assert!(expected.abs_diff(264) < 15, "{expected}");
 }
 
 #[test]
-fn reading_is_spread_over_engines_that_would_answer_in_time() {
-    // Symptom: streams take twice as long on some engines, and are cut as often when
-    // something is lost, while other engines hardly read.
-    // Sequence: requests share a part that one engine has kept; it answers each in time.
-    // Cause: an engine that has just read looks as idle as one that has not read at all,
-    // and what it reads delays all that it generates.
+fn prefill_is_spread_over_engines_that_would_answer_in_time() {
+    // Symptom: streams take twice as long on some engines, and are cut off twice as often by
+    // failures, while other engines hardly prefill.
+    // Sequence: requests share a part that one engine has cached; it answers each in time.
+    // Cause: an engine that has just prefilled looked as idle as any other, although its prefill
+    // delays all of its streams.
     let mut slots = Slots::default();
     slots.set_memory_tokens(Some(700_000));
     for id in 1..=2 {
         slots.set(EndpointId(id), 64, 0, false);
     }
     let now = Millis(1000);
-    let reading = slots.acquire(now, ENGINE, Prompt::new([(7, 500), (8, 4500)], 50));
-    // It has read its prompt; the first event is still to come.
-    let read = now.after(u64::from(reading.unwrap().forecast().first_ms) - 10);
+    let prefill = slots.acquire(now, ENGINE, Prompt::new([(7, 500), (8, 4500)], 50));
+    // The engine has prefilled the prompt; the first event is still to come.
+    let prefilled = now.after(u64::from(prefill.unwrap().forecast().first_ms) - 10);
     let next = Criteria {
         prompt: Prompt::new([(7, 500), (9, 600)], 50),
         ..criteria(0, 800)
     };
-    let chosen = slots.choose(read, next, &mut Reservations::default());
+    let chosen = slots.choose(prefilled, next, &mut Reservations::default());
     assert_eq!(chosen, Some(EndpointId(2)));
 }
 
 #[test]
-fn what_is_late_is_sent_in_its_turn_while_there_is_room_for_all() {
-    // Symptom: the longest prompts of a kind are refused on a calm day.
-    // Sequence: something waits for its engine at most moments, though never for long;
-    // a prompt that is late wherever it is sent has to wait for a moment when nothing does.
-    // Cause: what is late gives way although nothing is in need.
+fn a_late_request_is_sent_in_its_turn_unless_saturated() {
+    // Symptom: the longest prompts are refused although the load is low.
+    // Sequence: some request waits for its engine at most times, though never for long; a
+    // request that would be late on every engine waits until no other request does.
+    // Cause: late requests yielded to others although the engines were not saturated.
     let (mut scheduler, session) = scheduler();
     scheduler.slots().set(EndpointId(2), 64, 0, false);
     let now = Millis(1000);
     scheduler.handle_report(now, session, ask(1, 8000, 2000));
-    // The second engine gets the long one, while the third waits for the first.
+    // The long request is sent to the second engine.
     let sent = scheduler.handle_report(now, session, ask(2, 90_000, 800));
     assert_eq!(granted(&sent), [2]);
 }
 
 #[test]
-fn what_comes_together_is_granted_together() {
+fn asks_of_one_batch_are_granted_together() {
     // Symptom: requests wait for the scheduler while engines stand idle.
-    // Sequence: a scheduler of many engines is told of many asks and ends at once.
-    // Cause: a look through all that waits for each of them.
+    // Sequence: a scheduler of many engines gets many asks and ends of requests at once.
+    // Cause: a pass through all waiting asks for each of these events.
     let (mut scheduler, session) = scheduler();
     scheduler.enable_batching();
     let now = Millis(1000);
@@ -222,12 +223,11 @@
 }
 
 #[test]
-fn a_late_scheduler_does_not_take_its_engines_for_slow() {
-    // Symptom: engines with little to do, and thousands of requests refused as overloaded;
-    // engines that read 60,000 tokens a second are believed to read 7,000.
-    // Sequence: a scheduler is told of more than it can take in, and hears of first bytes
-    // half a second after they came.
-    // Cause: the time to a first byte was taken when the scheduler heard of it.
+fn a_delayed_scheduler_does_not_underestimate_its_engines() {
+    // Symptom: engines are nearly idle while thousands of requests are refused as overloaded;
+    // engines that prefill 60,000 tokens per second are estimated at 7,000.
+    // Sequence: an overloaded scheduler receives reports of first bytes half a second late.
+    // Cause: the time to the first byte was measured at the receipt of the report.
     let (mut scheduler, session) = scheduler();
     let mut expected = 0;
     for seq in 0..60 {
@@ -237,9 +237,9 @@
             unreachable!("an idle engine is sent a request");
         };
         expected = u64::from(grant.forecast.first_ms);
-        let heard = Millis(now + 260 + 500);
-        scheduler.handle_report(heard, session, Report::Began(Seq(seq), Some(260)));
-        scheduler.handle_report(heard, session, Report::Done(Seq(seq), 10, Verdict::Fine));
+        let received = Millis(now + 260 + 500);
+        scheduler.handle_report(received, session, Report::Began(Seq(seq), Some(260)));
+        scheduler.handle_report(received, session, Report::Done(Seq(seq), 10, Verdict::Fine));
     }
     assert!(expected.abs_diff(262) < 15, "{expected}");
     assert!(
@@ -250,18 +250,18 @@
 }
 
 #[test]
-fn a_router_that_runs_late_says_nothing_of_an_engine() {
-    // Symptom: engines are taken for slow that one busy router uses.
-    // Sequence: a router has more to do than it can, and reads first bytes late.
-    // Cause: what it measured is the time until it turned to them.
+fn times_of_a_delayed_router_do_not_change_the_estimate() {
+    // Symptom: engines that one busy router uses are estimated as slow.
+    // Sequence: an overloaded router handles first bytes late.
+    // Cause: the router measured the time until it handled the first byte.
     let (mut scheduler, session) = scheduler();
     let before = scheduler.summary().slowest_tokens_per_s;
     for seq in 0..20 {
         let now = 1000 + seq * 2000;
         scheduler.handle_report(Millis(now), session, ask(seq, 6600, 800));
-        let heard = Millis(now + 1500);
-        scheduler.handle_report(heard, session, Report::Began(Seq(seq), None));
-        scheduler.handle_report(heard, session, Report::Done(Seq(seq), 10, Verdict::Fine));
+        let received = Millis(now + 1500);
+        scheduler.handle_report(received, session, Report::Began(Seq(seq), None));
+        scheduler.handle_report(received, session, Report::Done(Seq(seq), 10, Verdict::Fine));
     }
     assert_eq!(scheduler.summary().slowest_tokens_per_s, before);
 }
--- a/components/coordination/tests/restart.rs
+++ b/components/coordination/tests/restart.rs
@@ -1,4 +1,4 @@
-//! Endpoints that start again under the name that they had.
+//! Endpoints that restart under the same name.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
 mod asks;
@@ -15,14 +15,14 @@
 
 const A: EndpointId = EndpointId(1);
 const B: EndpointId = EndpointId(2);
-/// A part that many requests share, with its tokens.
+/// Identity and tokens of a prompt part that many requests share.
 const SHARED: (u64, u32) = (7, 12_000);
 
-fn listed(born: u64, leaving: bool) -> Entry {
-    endpoints::listed("a", Some(born), leaving)
+fn listed(started_ms: u64, leaving: bool) -> Entry {
+    endpoints::listed("a", Some(started_ms), leaving)
 }
 
-/// A scheduler of two engines, the first of which has kept the shared part.
+/// A scheduler of two engines, the first of which has cached the shared part.
 fn scheduler() -> (Scheduler, Session) {
     let mut scheduler = Scheduler::new(Epoch(1), Millis(0));
     scheduler.slots().set_memory_tokens(Some(500_000));
@@ -43,8 +43,8 @@
     Report::Ask(asks::ask(seq, prompt, 800, 13_000))
 }
 
-/// Where an ask is sent, and the tokens that are to be read for it there.
-fn sent(scheduler: &mut Scheduler, session: Session, now: u64, seq: u64) -> (EndpointId, u32) {
+/// The endpoint of a granted ask, and the tokens that it has to prefill.
+fn granted(scheduler: &mut Scheduler, session: Session, now: u64, seq: u64) -> (EndpointId, u32) {
     let effects = scheduler.handle_report(Millis(now), session, ask(seq));
     let grants = effects.iter().find_map(|effect| match effect {
         Effect::Grant(_, grant) => Some((grant.endpoint, grant.forecast.to_read)),
@@ -54,11 +54,10 @@
 }
 
 #[test]
-fn a_start_under_the_same_name_is_another_endpoint() {
-    // Symptom: an endpoint that started again is never used, or is used as if it knew
-    // what its earlier life knew.
-    // Sequence: it leaves, ends, and starts again under its name.
-    // Cause: endpoints that are known by their names alone.
+fn a_restart_under_the_same_name_is_another_endpoint() {
+    // Symptom: a restarted endpoint is never used, or is used as if its cache were full.
+    // Sequence: the endpoint leaves, ends, and restarts under its name.
+    // Cause: endpoints were identified by their name alone.
     let mut registry = Registry::default();
     registry.apply_reading(Millis(0), vec![listed(1000, false)], 1);
     let before = registry.listing().endpoints[0].id();
@@ -67,11 +66,11 @@
     let now = &registry.listing().endpoints;
     assert_eq!(now.len(), 1);
     assert_ne!(now[0].id(), before);
-    assert!(!now[0].leaving, "its earlier life was leaving");
+    assert!(!now[0].leaving, "only the earlier run was leaving");
 }
 
 #[test]
-fn an_older_page_does_not_bring_back_an_earlier_start() {
+fn an_outdated_list_does_not_restore_an_earlier_run() {
     let mut registry = Registry::default();
     registry.apply_reading(Millis(0), vec![listed(2000, false)], 1);
     assert!(!registry.apply_reading(Millis(500), vec![listed(1000, false)], 2));
@@ -84,45 +83,46 @@
 }
 
 #[test]
-fn an_engine_that_started_again_has_kept_nothing() {
-    // Symptom: prompts are sent to an engine that reads all of them again.
-    // Sequence: it crashes and starts again under its name; the list says nothing.
-    // Cause: the picture of its earlier life.
+fn a_restarted_engine_has_an_empty_cache() {
+    // Symptom: prompts are sent to an engine that has to prefill all of them again.
+    // Sequence: the engine crashes and restarts under its name; the endpoint list does not
+    // show it.
+    // Cause: the scheduler kept the cached parts of the earlier run.
     let (mut scheduler, session) = scheduler();
-    assert_eq!(sent(&mut scheduler, session, 300, 1), (A, 500));
+    assert_eq!(granted(&mut scheduler, session, 300, 1), (A, 500));
     scheduler.note_inventory(Millis(400), A, Some(2000), &[]);
-    let (_, to_read) = sent(&mut scheduler, session, 500, 2);
+    let (_, to_read) = granted(&mut scheduler, session, 500, 2);
     assert_eq!(to_read, 12_500);
 }
 
 #[test]
-fn what_an_earlier_start_said_comes_too_late() {
+fn an_inventory_of_an_earlier_run_is_ignored() {
     let (mut scheduler, session) = scheduler();
     scheduler.note_inventory(Millis(300), A, Some(2000), &[]);
     let part = [Part::new(SHARED.0, SHARED.1)];
     scheduler.note_inventory(Millis(310), A, Some(1000), &part);
-    let (_, to_read) = sent(&mut scheduler, session, 400, 1);
+    let (_, to_read) = granted(&mut scheduler, session, 400, 1);
     assert_eq!(to_read, 12_500);
 }
 
 #[test]
-fn an_engine_that_is_back_is_asked_what_it_has_kept() {
-    // Symptom: as above, for as long as nobody asks.
-    // Sequence: an engine breaks off all that it has, is ejected, and answers again.
-    // Cause: only engines of which nothing was known were asked.
+fn the_inventory_of_a_restored_engine_is_requested() {
+    // Symptom: prompts are sent to an engine that has to prefill all of them again.
+    // Sequence: an engine drops all of its requests, is ejected, and answers again.
+    // Cause: inventories were only requested of engines of whose cache nothing was known.
     let (mut scheduler, session) = scheduler();
     scheduler.slots().set(B, 8, 0, true);
     for seq in 0..u64::from(EJECT_FAILURES) {
-        sent(&mut scheduler, session, 300, seq);
+        granted(&mut scheduler, session, 300, seq);
     }
     for seq in 0..u64::from(EJECT_FAILURES) {
         let done = Report::Done(Seq(seq), 0, Verdict::Failed);
         scheduler.handle_report(Millis(310), session, done);
     }
-    let back = 311 + EJECT_MIN_MS;
-    assert_eq!(sent(&mut scheduler, session, back, 9).0, A);
+    let restored = 311 + EJECT_MIN_MS;
+    assert_eq!(granted(&mut scheduler, session, restored, 9).0, A);
     let done = Report::Done(Seq(9), 0, Verdict::Fine);
-    let effects = scheduler.handle_report(Millis(back + 50), session, done);
+    let effects = scheduler.handle_report(Millis(restored + 50), session, done);
     assert!(
         effects.contains(&Effect::RequestInventory(A)),
         "{effects:?}"
