--- a/components/coordination/src/engine/backlog.rs
+++ b/components/coordination/src/engine/backlog.rs
@@ -109,7 +109,7 @@
     Overdue(u64),
 }
 
-/// Prefill speed of an engine: the time for [`UNIT_TOKENS`] tokens, in microseconds.
+/// Prefill speed of an engine: the time for `UNIT_TOKENS` tokens, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Speed(u64);
 
--- a/components/coordination/src/scheduler/mod.rs
+++ b/components/coordination/src/scheduler/mod.rs
@@ -1,5 +1,8 @@
 //! The scheduler of one shard: grants the slots of its endpoints to waiting requests.
 //!
+//! Routers send an ask for each request that waits. The scheduler answers with a grant, which
+//! names the endpoint, or with a refusal if the request cannot be served in time.
+//!
 //! Of two customers with waiting requests, the one that has received less virtual service is
 //! served first, whichever routers the requests wait on.
 
@@ -286,14 +289,14 @@
         let session = Session(self.next_session);
         self.next_session += 1;
         self.sessions.insert(session);
-        for kept in &hello.cached {
-            self.slots.note_cached(now, kept.endpoint, kept.part);
+        for cached in &hello.cached {
+            self.slots.note_cached(now, cached.endpoint, cached.part);
         }
         for backoff in &hello.backoff {
             self.slots.back_off(now, session.0, backoff);
         }
-        for known in &hello.usage {
-            self.ledger.restore(known.customer, known.level);
+        for usage in &hello.usage {
+            self.ledger.restore(usage.customer, usage.level);
         }
         let uncounted = self.counted.open(older, session, hello);
         self.uncounted.insert(session, uncounted);
@@ -524,15 +527,15 @@
     /// The first report with all totals of an epoch only sets the base for counting: earlier
     /// service was counted by the scheduler that this one has replaced.
     pub fn merge_served(&mut self, served: &Served) {
-        let known = self.foreign.contains_key(&served.epoch);
-        if !known && !served.all {
+        let is_known = self.foreign.contains_key(&served.epoch);
+        if !is_known && !served.all {
             return;
         }
         let totals = self.foreign.entry(served.epoch).or_default();
         for (customer, total) in &served.totals {
             let last = totals.insert(*customer, *total);
-            let from = if known { last.unwrap_or(0) } else { *total };
-            self.ledger.add(*customer, total.saturating_sub(from));
+            let base = if is_known { last.unwrap_or(0) } else { *total };
+            self.ledger.add(*customer, total.saturating_sub(base));
         }
     }
 
--- a/components/coordination/src/slot/cache.rs
+++ b/components/coordination/src/slot/cache.rs
@@ -213,7 +213,7 @@
     }
 
     /// Holders of each part with the tokens up to its end, the last part first.
-    pub(super) fn from_last(&self) -> impl Iterator<Item = (&'a Holders, u64)> + use<'_, 'a> {
+    pub(super) fn iter_rev(&self) -> impl Iterator<Item = (&'a Holders, u64)> + use<'_, 'a> {
         self.prefixes.iter().rev().copied()
     }
 }
--- a/components/coordination/src/slot/select.rs
+++ b/components/coordination/src/slot/select.rs
@@ -14,8 +14,9 @@
 /// Time that a copy between engines must save, in percent of the request's latency target.
 ///
 /// A copy moves hundreds of megabytes over the network and takes memory of one more engine.
-/// Where few parts are hot, copies bring nothing; with one hot part in 25 requests they bring
-/// 20 percentage points more answers in time (`can_copy_a_part_that_becomes_hot`).
+/// Where no part is requested more often than one engine can serve, copies bring nothing; with
+/// four such parts in a hundred, they bring 20 percent more answers in time
+/// (`can_copy_a_part_that_becomes_hot`).
 const COPY_COST_PERCENT: u64 = 66;
 /// Weight of the work of a request on an engine, relative to the time until its answer: the
 /// prefill delays all other requests of the engine.
@@ -24,8 +25,8 @@
 /// microseconds: a decoding step takes longer for each request of the batch, so that streams
 /// take longer and more of them are cut off by failures.
 const BATCH_COST_US: u64 = 400;
-/// Cost of a failure, in latency targets of the request: its caller has waited in vain, and
-/// often may not retry.
+/// Cost of a failure, in latency targets of the request: its caller has waited without a result,
+/// and often may not retry.
 const FAILURE_COST_AIMS: u64 = 2;
 /// Longest latency target with which costs are computed, in milliseconds: for a request
 /// without one, every copy and every failure would otherwise cost more than any wait.
@@ -399,7 +400,7 @@
             .for_each(|candidate| visit(candidate, MAX_PARTS));
         let mut max_depth = coverage.len();
         let mut common = None;
-        for (holders, _) in coverage.from_last() {
+        for (holders, _) in coverage.iter_rev() {
             if holders.count() > RARE_HOLDERS_MAX {
                 common = Some(holders);
                 break;
@@ -436,7 +437,7 @@
             let engine = endpoint.and_then(|e| e.engine.as_ref());
             engine.is_some_and(|engine| engine.copyable_tokens(prompt) >= tokens)
         };
-        let mut found = (coverage.from_last()).filter_map(|(holders, tokens)| {
+        let mut found = (coverage.iter_rev()).filter_map(|(holders, tokens)| {
             Some((
                 holders
                     .descending()
