--- a/components/node/src/schedulers.rs
+++ b/components/node/src/schedulers.rs
@@ -330,7 +330,7 @@
     /// Logs each customer's share of every scheduler where requests wait.
     fn log_shares(&mut self, view: &View) {
         for (epoch, assigned) in &mut self.all {
-            let shares = assigned.scheduler.take_usage();
+            let shares = assigned.scheduler.take_allocations();
             if assigned.scheduler.waiting() == 0 {
                 continue;
             }
