--- a/components/node/src/frontend/note.rs
+++ b/components/node/src/frontend/access_log.rs
@@ -1,9 +1,12 @@
-//! The log line of a request: what decided it, and how it ended.
+//! The access log: one entry per request, with the routing decision and the outcome.
+//!
+//! An entry writes a log line for each try, each failed try and the end of the request, and
+//! counts the end in the metrics.
 
-use super::flow::Flow;
 use super::plan::Plan;
 use super::refusal::Refusal;
-use super::upstream::Failed;
+use super::timing::Timing;
+use super::upstream::Failure;
 use crate::input::Dispatch;
 use crate::metric::{Labels, Metrics};
 use crate::shared::Published;
@@ -17,66 +20,70 @@
 use state::outcome::Outcome;
 use std::time::{Duration, Instant};
 
-/// Reason of answers that their endpoint broke off.
+/// Reason logged for an answer whose endpoint closed the connection before its end.
 pub(crate) const BROKE_OFF: &str = "endpoint-broke-off";
 
-/// What is known of a request so far.
+/// What the log lines of one request report, collected while the request is served.
 #[derive(Debug)]
-pub(crate) struct Note {
+pub(crate) struct Entry {
     id: RequestId,
+    /// Identity that the caller gave the request.
     identity: Option<HeaderValue>,
-    began: Instant,
+    arrived_at: Instant,
     metrics: Metrics,
-    /// Version of the view that decided, and the operator's number.
+    /// Version of the view that the request was routed by.
     version: u64,
+    /// Operator's release number of that version.
     release: u64,
-    /// Age of the proof that it was the newest, in milliseconds.
+    /// Age of the proof that this version was the newest, in milliseconds.
     proof_ms: Option<u64>,
     rule: Option<Name>,
     customer: Option<Name>,
     service: Option<Name>,
     endpoint: Option<Name>,
     fingerprint: Option<Fingerprint>,
-    waited: Option<Duration>,
-    flow: Flow,
+    /// Time from the request's arrival to its first dispatch.
+    first_wait: Option<Duration>,
+    timing: Timing,
+    /// Times that the request was dispatched to an endpoint.
     tries: u32,
-    /// Whether its end has been told.
-    is_told: bool,
+    /// Whether the end of the request has been logged or counted.
+    is_logged: bool,
 }
 
-impl Drop for Note {
-    /// Tells of a request whose caller left before any answer.
+impl Drop for Entry {
+    /// Logs the end of a request whose caller disconnected before an answer.
     ///
-    /// Its task ends wherever it stands: one would find a request in the logs that was
-    /// sent and never ended.
+    /// Such a request's task is cancelled at any await point. Without this line, the logs
+    /// would show a request that was sent and never ended.
     fn drop(&mut self) {
         self.metrics.here.dec();
-        if !self.is_told {
+        if !self.is_logged {
             let outcome = match self.tries {
                 0 => Outcome::NotRun,
                 _ => Outcome::Unknown,
             };
-            self.line(None, outcome.as_str(), "caller-gone", None);
+            self.log_end(None, outcome.as_str(), "caller-gone", None);
         }
     }
 }
 
-impl Note {
-    /// A request that has just arrived.
+impl Entry {
+    /// Starts the entry of a request that has just arrived, and counts the request.
     pub(crate) fn new(
         id: RequestId,
-        began: Instant,
+        arrived_at: Instant,
         now: Millis,
         published: &Published,
         metrics: Metrics,
     ) -> Self {
         metrics.here.inc();
         metrics.asked.inc();
-        Note {
+        Entry {
             id,
             metrics,
             identity: None,
-            began,
+            arrived_at,
             version: published.view.version.0,
             release: published.view.release,
             proof_ms: published.proof.map(|at| now.since(at)),
@@ -85,36 +92,37 @@
             service: None,
             endpoint: None,
             fingerprint: None,
-            waited: None,
-            flow: Flow::new(began),
+            first_wait: None,
+            timing: Timing::new(arrived_at),
             tries: 0,
-            is_told: false,
+            is_logged: false,
         }
     }
 
-    /// Its identity.
+    /// The router's identity for the request.
     pub(crate) fn id(&self) -> RequestId {
         self.id
     }
 
-    /// Its caller's own identity for it.
-    pub(crate) fn identify(&mut self, identity: Option<HeaderValue>) {
+    /// Records the identity that the caller gave the request.
+    pub(crate) fn set_identity(&mut self, identity: Option<HeaderValue>) {
         self.identity = identity;
     }
 
-    /// A rule has decided.
-    pub(crate) fn plan(&mut self, plan: &Plan, customer: Option<Name>) {
+    /// Records the rule that matched, and the service and customer that follow from it.
+    pub(crate) fn set_plan(&mut self, plan: &Plan, customer: Option<Name>) {
         self.rule = Some(plan.rule.clone());
         self.service = Some(plan.service_name.clone());
         self.customer = customer;
     }
 
-    /// It is sent to an endpoint.
-    pub(crate) fn dispatch(&mut self, dispatch: &Dispatch, fingerprint: Fingerprint) {
+    /// Logs that the request is sent to an endpoint.
+    pub(crate) fn log_dispatch(&mut self, dispatch: &Dispatch, fingerprint: Fingerprint) {
         self.tries += 1;
         self.fingerprint = Some(fingerprint);
         self.metrics.sent.inc();
-        self.waited.get_or_insert_with(|| self.began.elapsed());
+        self.first_wait
+            .get_or_insert_with(|| self.arrived_at.elapsed());
         self.endpoint = Some(dispatch.name.clone());
         let Placement {
             epoch,
@@ -138,17 +146,17 @@
             copy_from = dispatch.copy_from.map(tracing::field::display),
             tries = self.tries,
             unasked_ms,
-            waited_ms = millis(self.began.elapsed()),
+            waited_ms = millis(self.arrived_at.elapsed()),
         );
     }
 
-    /// A piece of its answer is passed on, with which `events` have come in all.
-    pub(crate) fn piece(&mut self, events: u32) {
-        self.flow.piece(events);
+    /// Records that a piece of the answer is relayed. `events` is the new total of events.
+    pub(crate) fn record_piece(&mut self, events: u32) {
+        self.timing.record_piece(events);
     }
 
-    /// A try has failed, and another may follow.
-    pub(crate) fn failed(&self, failed: &Failed, next: &'static str) {
+    /// Logs a failed try; `next` names what follows it.
+    pub(crate) fn log_failure(&self, failure: &Failure, next: &'static str) {
         tracing::info!(
             event = Line::TryFailed.as_str(),
             request = %self.id,
@@ -157,14 +165,14 @@
             fingerprint = self.fingerprint.map(tracing::field::display),
             tries = self.tries,
             next,
-            broke_off = failed.broke_off,
-            error = %failed.error,
+            broke_off = failure.broke_off,
+            error = %failure.error,
         );
     }
 
-    /// The router answers in place of an endpoint.
-    pub(crate) fn refused(&mut self, refusal: &Refusal) {
-        self.line(
+    /// Logs that the router itself refuses the request.
+    pub(crate) fn log_refusal(&mut self, refusal: &Refusal) {
+        self.log_end(
             Some(refusal.status),
             refusal.outcome.as_str(),
             refusal.code,
@@ -172,14 +180,15 @@
         );
     }
 
-    /// The router answers in place of an endpoint, and only counts it.
-    pub(crate) fn refused_untold(&mut self, refusal: &Refusal) {
-        self.is_told = true;
+    /// Counts that the router itself refuses the request, without a log line.
+    pub(crate) fn count_refusal(&mut self, refusal: &Refusal) {
+        self.is_logged = true;
         self.metrics.untold.inc();
         let outcome = refusal.outcome.as_str();
-        self.count(self.began.elapsed(), None, outcome, refusal.code);
+        self.count(self.arrived_at.elapsed(), None, outcome, refusal.code);
     }
 
+    /// Counts the end of the request in the metrics.
     fn count(&self, took: Duration, first: Option<Duration>, outcome: &str, reason: &str) {
         let labels = Labels {
             service: text(self.service.as_ref()),
@@ -190,12 +199,13 @@
         self.metrics.ended(took, first, labels);
     }
 
-    /// An endpoint's answer has ended, or was cut.
-    pub(crate) fn answered(&mut self, status: StatusCode, how: &'static str) {
-        self.line(Some(status), Outcome::Answered.as_str(), how, None);
+    /// Logs the end of an endpoint's answer; `reason` says whether the answer was complete.
+    pub(crate) fn log_answer(&mut self, status: StatusCode, reason: &'static str) {
+        self.log_end(Some(status), Outcome::Answered.as_str(), reason, None);
     }
 
-    fn line(
+    /// Logs and counts the end of the request.
+    fn log_end(
         &mut self,
         status: Option<StatusCode>,
         outcome: &'static str,
@@ -204,11 +214,11 @@
     ) {
         let retry_after = refusal.and_then(|r| r.retry_after);
         let basis = refusal.and_then(|r| r.basis);
-        let broken = self.fingerprint.filter(|_| reason == BROKE_OFF);
-        self.is_told = true;
+        let crash_fingerprint = self.fingerprint.filter(|_| reason == BROKE_OFF);
+        self.is_logged = true;
         let service = text(self.service.as_ref());
-        let took = self.began.elapsed();
-        let first = self.flow.first();
+        let took = self.arrived_at.elapsed();
+        let first = self.timing.time_to_first();
         self.count(took, first, outcome, reason);
         tracing::info!(
             event = Line::RequestEnded.as_str(),
@@ -221,12 +231,12 @@
             version = self.version,
             release = self.release,
             proof_ms = self.proof_ms,
-            waited_ms = self.waited.map(millis),
+            waited_ms = self.first_wait.map(millis),
             took_ms = millis(took),
             first_ms = first.map(millis),
-            pause_ms = self.flow.pause().map(millis),
-            events = self.flow.events(),
-            fingerprint = broken.map(tracing::field::display),
+            pause_ms = self.timing.longest_pause().map(millis),
+            events = self.timing.events(),
+            fingerprint = crash_fingerprint.map(tracing::field::display),
             tries = self.tries,
             status = status.map(|s| s.as_u16()),
             outcome,
@@ -237,12 +247,14 @@
         );
     }
 
+    /// The caller's identity for the request; empty without one or if it is not text.
     fn caller(&self) -> &str {
         let identity = self.identity.as_ref();
         identity.and_then(|i| i.to_str().ok()).unwrap_or("")
     }
 }
 
+/// A name for a log line; empty without one.
 fn text(name: Option<&Name>) -> &str {
     name.map_or("", Name::as_str)
 }
--- a/components/node/src/frontend/admit.rs
+++ b/components/node/src/frontend/admit.rs
@@ -1,7 +1,8 @@
-//! What is checked before a request is looked at: readiness, framing, customer, body.
+//! Admission of a request before it is routed: readiness, load, framing and sizes; and reading
+//! of its body within bounds.
 
-use super::listen::{Frontend, BODY_UNIT};
-use super::note::Note;
+use super::access_log::Entry;
+use super::listen::{Frontend, BODY_UNIT_BYTES};
 use super::refusal::Refusal;
 use super::upstream::Call;
 use crate::interface::Asked;
@@ -18,98 +19,106 @@
 use std::time::Duration;
 use tokio::sync::OwnedSemaphorePermit;
 
-/// Reason of refusals while tasks run late.
-pub(super) const BUSY: &str = "router-busy";
+/// Code of refusals while tasks of this process run late.
+pub(super) const BUSY_CODE: &str = "router-busy";
 
-/// Time after which a caller is to come back that another router, or another endpoint, can
-/// serve at once.
-pub(super) const ELSEWHERE: Duration = Duration::from_millis(50);
+/// Retry-After for a request that another router, or another endpoint, can serve at once.
+pub(super) const OTHER_ROUTER_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Bytes that a refused caller may still send, at least.
-const DISCARD: usize = 4 * 1024 * 1024;
+/// Lower bound of the limit on the bytes that are read of a refused request's body.
+const MIN_DISCARD_LIMIT_BYTES: usize = 4 * 1024 * 1024;
 
-/// Time for which they are read.
-const DISCARD_TIME: Duration = Duration::from_secs(1);
+/// Longest time for which the body of a refused request is read.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Checks what the head alone tells; gives what it asks for.
+/// Checks everything that the head alone allows to check; returns what the head asks for.
+///
+/// # Errors
+///
+/// The refusal, if one of the checks fails.
 pub(super) fn admit(
     frontend: &Frontend,
     published: &Published,
     head: &Parts,
-    note: &mut Note,
+    entry: &mut Entry,
 ) -> Result<Asked, Refusal> {
     let asked = (frontend.context.interface.ask)(head);
     if let Ok(asked) = &asked {
-        // First of all: a refused request must be found by its caller's identity too.
-        note.identify(asked.identity.clone());
+        // Set before any check, so that the log line of a refused request has the caller's
+        // identity.
+        entry.set_identity(asked.identity.clone());
     }
     check_ready(published)?;
-    check_lateness(frontend, note.id())?;
+    check_lateness(frontend, entry.id())?;
     check_framing(head)?;
     check_size(head, frontend.context.callers.head_max)?;
     asked.map_err(|reason| Refusal::not_run(StatusCode::BAD_REQUEST, "bad-head", reason))
 }
 
+/// Refuses a request while this router is stopping or has no configuration yet.
 fn check_ready(published: &Published) -> Result<(), Refusal> {
     if published.closed {
-        let text = "this router is stopping; another one will take it";
+        let text = "this router is stopping; another router takes the request";
         let status = StatusCode::SERVICE_UNAVAILABLE;
-        return Err(Refusal::not_run(status, "stopping", text).after_time(ELSEWHERE));
+        return Err(
+            Refusal::not_run(status, "stopping", text).with_retry_after(OTHER_ROUTER_RETRY_AFTER)
+        );
     }
     if published.ready && published.view.config_version > Version(0) {
         return Ok(());
     }
-    let text = "this router does not know the configuration yet";
+    let text = "this router has not received the configuration yet";
     let status = StatusCode::SERVICE_UNAVAILABLE;
-    Err(Refusal::not_run(status, "not-ready", text).after(1))
+    Err(Refusal::not_run(status, "not-ready", text).with_retry_after_s(1))
 }
 
 /// Refuses a request while tasks of this router run late.
 ///
-/// Callers of one large customer come to one router. Let in faster than its processor
-/// can serve them, they waited 1 to 2 s for refusals, and nothing that the router held
-/// moved on in time. Refused at once they come back to another router, and the
-/// processor stays with those that were let in.
+/// All callers of one large customer can arrive at one router. When the router admitted them
+/// faster than its processor could serve them, they waited 1 to 2 s for a refusal, and all
+/// requests in the router were delayed. Callers that are refused at once retry at another
+/// router, and the processor time remains for the admitted requests.
 fn check_lateness(frontend: &Frontend, id: RequestId) -> Result<(), Refusal> {
     if frontend.context.lateness.request() == Intake::Take {
         return Ok(());
     }
-    let text = "this router has more to do than it can in time; another one may have room";
+    let text = "this router is overloaded; another router may have capacity";
     let status = StatusCode::SERVICE_UNAVAILABLE;
-    // Callers that are refused together must not come back together.
-    let after = ELSEWHERE * (1 + u32::try_from(id.count % 4).unwrap_or(0));
-    Err(Refusal::not_run(status, BUSY, text).after_time(after))
+    // Spreads the retries of callers that are refused at the same time.
+    let retry_after = OTHER_ROUTER_RETRY_AFTER * (1 + u32::try_from(id.count % 4).unwrap_or(0));
+    Err(Refusal::not_run(status, BUSY_CODE, text).with_retry_after(retry_after))
 }
 
-/// Refuses a customer's request while the newest version is not proved.
+/// Refuses a customer's request if the last proof that this router has the newest version is too
+/// old.
 ///
-/// A router that is cut off does not hear that a key was taken away. Served on,
-/// its holder would be seen to use it long after the operators were told that
-/// it is gone.
-pub(super) fn check_proof(frontend: &Frontend, published: &Published) -> Result<(), Refusal> {
+/// A router that is partitioned from the control VMs does not learn that a key was revoked.
+/// Without this check, the key would work long after operators were told that it is revoked.
+pub(super) fn check_proof_age(frontend: &Frontend, published: &Published) -> Result<(), Refusal> {
     let now = frontend.context.clock.now();
     let age = published.proof.map_or(u64::MAX, |at| now.since(at));
     match frontend.context.max_proof_age_ms {
         Some(bound) if age > bound => {
-            let text = "this router is cut off from control for longer than allowed";
+            let text =
+                "this router has been disconnected from the control VMs for longer than allowed";
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            Err(Refusal::not_run(status, "stale", text).after(1))
+            Err(Refusal::not_run(status, "stale", text).with_retry_after_s(1))
         }
         _ => Ok(()),
     }
 }
 
-/// Refuses a head that two readers could understand differently.
+/// Refuses a head that two HTTP implementations could interpret differently.
 ///
-/// With both lengths, or two of them, this router and a proxy before it could
-/// disagree where the request ends; the rest would be read as a request of its
-/// own, and its answer go to someone else.
+/// With both Content-Length and Transfer-Encoding, or with two lengths, this router and a proxy
+/// in front of it could disagree about where the request ends (request smuggling): the
+/// rest of the body would be read as another request, and its answer go to another caller.
 fn check_framing(head: &Parts) -> Result<(), Refusal> {
     let headers = &head.headers;
     let lengths = headers.get_all(CONTENT_LENGTH).iter().count();
     let both = lengths > 0 && headers.contains_key(TRANSFER_ENCODING);
     if both || lengths > 1 {
-        let text = "a body has one Content-Length, or Transfer-Encoding: chunked";
+        let text = "a request has either one Content-Length or Transfer-Encoding: chunked";
         return Err(Refusal::not_run(
             StatusCode::BAD_REQUEST,
             "ambiguous-length",
@@ -117,13 +126,13 @@
         ));
     }
     if headers.get_all(HOST).iter().count() > 1 {
-        // The one that decides here need not be the one that the endpoint reads.
-        let text = "a request names one host";
+        // Routing here could use another host than the endpoint does.
+        let text = "a request has more than one Host header";
         let status = StatusCode::BAD_REQUEST;
         return Err(Refusal::not_run(status, "ambiguous-host", text));
     }
     if head.method == Method::CONNECT {
-        let text = "CONNECT is not served";
+        let text = "the method CONNECT is not supported";
         return Err(Refusal::not_run(
             StatusCode::METHOD_NOT_ALLOWED,
             "connect",
@@ -133,8 +142,8 @@
     Ok(())
 }
 
-/// Refuses a large head with a reason. The library refuses one that is twice as
-/// large by itself, with a bare 431.
+/// Refuses a head that is larger than `max` bytes, with a reason. The HTTP library itself answers
+/// a head of more than twice that size with a 431 without a body.
 fn check_size(head: &Parts, max: usize) -> Result<(), Refusal> {
     let fields = head
         .headers
@@ -145,34 +154,38 @@
         return Ok(());
     }
     let status = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
-    let text = format!("a head has at most {max} bytes here");
+    let text = format!("the head has more than {max} bytes");
     Err(Refusal::not_run(status, "head-too-large", text))
 }
 
-/// Reads what a refused caller still sends, within bounds.
+/// Reads and drops the rest of a refused request's body, within bounds of size and time.
 ///
-/// If the connection closed with bytes unread, the system would reset it, and
-/// the caller could lose the answer that tells why.
-pub(super) async fn discard(mut body: Incoming, most: usize) {
+/// If the connection were closed with unread bytes, the operating system would reset it, and the
+/// caller could lose the response with the reason.
+pub(super) async fn discard_body(mut body: Incoming, max: usize) {
     let reading = async {
-        let mut left = most.max(DISCARD);
+        let mut remaining = max.max(MIN_DISCARD_LIMIT_BYTES);
         while let Some(Ok(frame)) = body.frame().await {
-            left = left.saturating_sub(frame.data_ref().map_or(0, Bytes::len));
-            if left == 0 {
+            remaining = remaining.saturating_sub(frame.data_ref().map_or(0, Bytes::len));
+            if remaining == 0 {
                 return;
             }
         }
     };
-    // Past the time the answer is given, whatever is still to come.
-    let _ = tokio::time::timeout(DISCARD_TIME, reading).await;
+    // After the timeout, the response is sent although the body has not been read to its end.
+    let _ = tokio::time::timeout(DISCARD_TIMEOUT, reading).await;
 }
 
 /// Reads the whole body, within bounds of size, time and memory.
 ///
-/// What all bodies together take is bounded while they are read, too: a flood of
-/// connections that each send a large body would else fill the memory before
-/// any queue could refuse them.
-pub(super) async fn read(
+/// The memory of all bodies together is bounded while they are read, too. Otherwise many
+/// connections that each send a large body would exhaust the memory before any queue could
+/// refuse their requests.
+///
+/// # Errors
+///
+/// The refusal, if the body exceeds a bound or cannot be read.
+pub(super) async fn read_body(
     frontend: &Frontend,
     id: RequestId,
     identity: Option<HeaderValue>,
@@ -182,7 +195,7 @@
     let max = frontend.context.callers.body_max;
     // CAST: `usize` is at most 64 bits on every supported target.
     if body.size_hint().lower() > max as u64 {
-        discard(body, max).await;
+        discard_body(body, max).await;
         return Err(too_large(max));
     }
     let time = Duration::from_millis(frontend.context.callers.body_ms);
@@ -190,7 +203,7 @@
     let (body, memory) = match reading {
         Ok(Ok(collected)) => collected,
         Ok(Err(refusal)) => {
-            discard(body, max).await;
+            discard_body(body, max).await;
             return Err(refusal);
         }
         Err(_) => {
@@ -212,7 +225,7 @@
     })
 }
 
-/// Collects a body, with its part of the memory for bodies.
+/// Collects a body, together with the permits for its part of the memory for bodies.
 async fn collect(
     frontend: &Frontend,
     body: &mut Incoming,
@@ -233,12 +246,13 @@
         }
         bytes.extend_from_slice(data);
         let held = memory.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
-        let wanted = bytes.len().div_ceil(BODY_UNIT).saturating_sub(held);
+        let wanted = bytes.len().div_ceil(BODY_UNIT_BYTES).saturating_sub(held);
         let wanted = u32::try_from(wanted).unwrap_or(u32::MAX);
-        let more = frontend.bodies.clone().try_acquire_many_owned(wanted);
+        let more = frontend.body_memory.clone().try_acquire_many_owned(wanted);
         let more = more.map_err(|_| {
-            let text = "the bodies that this router holds take all the memory for them";
-            Refusal::not_run(StatusCode::TOO_MANY_REQUESTS, "bodies-full", text).after(1)
+            let text = "the memory for request bodies in this router is full";
+            Refusal::not_run(StatusCode::TOO_MANY_REQUESTS, "bodies-full", text)
+                .with_retry_after_s(1)
         })?;
         match &mut memory {
             Some(memory) => memory.merge(more),
@@ -249,6 +263,6 @@
 }
 
 fn too_large(max: usize) -> Refusal {
-    let text = format!("a body has at most {max} bytes here");
+    let text = format!("the body has more than {max} bytes");
     Refusal::not_run(StatusCode::PAYLOAD_TOO_LARGE, "body-too-large", text)
 }
--- a/components/node/src/frontend/claim.rs
+++ b/components/node/src/frontend/claim.rs
@@ -1,7 +1,7 @@
-//! Idempotency keys: claimed at the control VMs before anything is sent.
+//! Claims of idempotency keys, made at the control VMs before the request is sent to an endpoint.
 
 use super::listen::Frontend;
-use super::refusal::{insert, Refusal, OUTCOME};
+use super::refusal::{set_header, Refusal, OUTCOME_HEADER};
 use super::upstream::Call;
 use crate::input::Input;
 use crate::interface::IDENTITY;
@@ -18,30 +18,38 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Longest idempotency key in bytes.
-const KEY_MAX: usize = 255;
-/// Longest time to report what became of a claimed request.
-const SETTLE: Duration = Duration::from_secs(60);
+/// Longest idempotency key.
+const MAX_KEY_BYTES: usize = 255;
+/// Longest time for which a claim's outcome is reported to the control VMs before giving up.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A claimed key. Dropped without word, it reports that nothing is known.
+/// A claimed idempotency key. If the claim is dropped before it is settled, the key is freed if
+/// nothing was sent, and else the outcome is reported as unknown.
 pub(crate) struct Claim {
     frontend: Arc<Frontend>,
+    /// Hash of customer and key.
     key: Hash,
     request: RequestId,
-    /// Whether any byte may have been sent.
-    sent: bool,
-    settled: bool,
+    /// Whether any byte of the request may have reached an endpoint.
+    may_have_run: bool,
+    /// Whether the outcome has been reported, or belongs to an earlier request.
+    is_settled: bool,
 }
 
-/// What a claim gave.
+/// Result of claiming a key.
 pub(crate) enum Claimed {
-    /// The key is ours.
-    Ours(Claim),
-    /// An earlier request has it; this is the answer.
+    /// The key is new, and now claimed by this request.
+    New(Claim),
+    /// An earlier request with the key was answered; this is the stored answer.
     Earlier(Box<Response<Full<Bytes>>>),
 }
 
-/// Claims the key of a call.
+/// Claims the idempotency key of a call, within the time `wait`.
+///
+/// # Errors
+///
+/// The refusal, if the key is invalid, was used before without a stored answer, or the control
+/// VMs do not answer.
 pub(crate) async fn claim(
     frontend: &Arc<Frontend>,
     call: &Call,
@@ -49,8 +57,8 @@
     key: &[u8],
     wait: Duration,
 ) -> Result<Claimed, Refusal> {
-    if key.is_empty() || key.len() > KEY_MAX {
-        let text = format!("Idempotency-Key has 1 to {KEY_MAX} bytes");
+    if key.is_empty() || key.len() > MAX_KEY_BYTES {
+        let text = format!("Idempotency-Key has 1 to {MAX_KEY_BYTES} bytes");
         return Err(Refusal::not_run(
             StatusCode::BAD_REQUEST,
             "bad-idempotency-key",
@@ -65,8 +73,8 @@
         frontend: frontend.clone(),
         key,
         request: call.id,
-        sent: false,
-        settled: false,
+        may_have_run: false,
+        is_settled: false,
     };
     let query = Query::Claim {
         key,
@@ -80,10 +88,10 @@
         Ok(Ok(Reply::Answer(Answer::Fresh))) => {
             let event = Event::new(Step::Claimed).request(call.id);
             frontend.context.journal.note(event.customer(customer));
-            Ok(Claimed::Ours(claim))
+            Ok(Claimed::New(claim))
         }
         Ok(Ok(Reply::Answer(Answer::Taken(first, known)))) => {
-            claim.settled = true;
+            claim.is_settled = true;
             if first != fingerprint {
                 let text = "this Idempotency-Key was used for another request";
                 let code = "idempotency-key-reused";
@@ -93,30 +101,38 @@
                     text,
                 ));
             }
-            earlier(call.id, known)
+            answer_resend(call.id, known)
         }
         _ => {
-            // The claim may yet be accepted. It is freed only once that is known:
-            // freed before, it would be accepted afterwards and never end.
+            // The claim may still be accepted later, so the key is freed only after the
+            // reply. Freed earlier, the key would be claimed afterwards and stay claimed.
             tokio::spawn(async move {
-                let _ = tokio::time::timeout(SETTLE, receiver).await;
+                let _ = tokio::time::timeout(SETTLE_TIMEOUT, receiver).await;
                 drop(claim);
             });
-            let text = "the control VMs could not be asked whether the key is new";
-            Err(Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, "no-claim", text).after(1))
+            let text = "the control VMs did not confirm in time that the Idempotency-Key is new";
+            Err(
+                Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, "no-claim", text)
+                    .with_retry_after_s(1),
+            )
         }
     }
 }
 
-/// What a resend is told of the first request.
-fn earlier(id: RequestId, known: Known) -> Result<Claimed, Refusal> {
-    let conflict =
-        |text: &str| Refusal::unknown(StatusCode::CONFLICT, "idempotency-key-taken", text).after(1);
+/// Answers a resend by what is known of the first request with its key.
+fn answer_resend(id: RequestId, known: Known) -> Result<Claimed, Refusal> {
+    let conflict = |text: &str| {
+        Refusal::unknown(StatusCode::CONFLICT, "idempotency-key-taken", text).with_retry_after_s(1)
+    };
     match known {
-        Known::Open => Err(conflict("the first request with this key has not ended")),
-        Known::Unknown => Err(conflict("whether the first request has run is not known")),
+        Known::Open => Err(conflict(
+            "the first request with this key is still in progress",
+        )),
+        Known::Unknown => Err(conflict(
+            "it is unknown whether the first request with this key has run",
+        )),
         Known::Answered(Stored { body: None, .. }) => Err(conflict(
-            "the first request was answered; its answer was too long to keep",
+            "the first request with this key was answered, but the answer was too long to store",
         )),
         Known::Answered(Stored {
             status,
@@ -126,36 +142,37 @@
             let mut response = Response::new(Full::new(Bytes::from(body)));
             *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
             let headers = response.headers_mut();
-            insert(headers, "content-type", &content_type);
-            insert(headers, OUTCOME, Outcome::Answered.as_str());
-            insert(headers, IDENTITY, &id.to_string());
-            insert(headers, "cowslipford-replayed", "yes");
+            set_header(headers, "content-type", &content_type);
+            set_header(headers, OUTCOME_HEADER, Outcome::Answered.as_str());
+            set_header(headers, IDENTITY, &id.to_string());
+            set_header(headers, "cowslipford-replayed", "yes");
             Ok(Claimed::Earlier(Box::new(response)))
         }
     }
 }
 
 impl Claim {
-    /// Notes that bytes may be sent from now on.
-    pub(crate) fn sending(&mut self) {
-        self.sent = true;
+    /// Records that bytes of the request may reach an endpoint from now on.
+    pub(crate) fn mark_sent(&mut self) {
+        self.may_have_run = true;
     }
 
-    /// Notes that no byte was sent after all.
-    pub(crate) fn not_sent(&mut self) {
-        self.sent = false;
+    /// Records that no byte of the request has reached an endpoint.
+    pub(crate) fn mark_unsent(&mut self) {
+        self.may_have_run = false;
     }
 
-    /// Reports the answer once it has been passed on whole.
-    pub(crate) fn answered(
+    /// Reports the answer as soon as the caller has received all of it: `body_end` then delivers
+    /// the body, or `None` for a body that is too long to store.
+    pub(crate) fn settle_when_complete(
         mut self,
         status: u16,
         content_type: String,
-        ended: oneshot::Receiver<Option<Vec<u8>>>,
+        body_end: oneshot::Receiver<Option<Vec<u8>>>,
     ) {
         tokio::spawn(async move {
-            if let Ok(body) = ended.await {
-                self.settled = true;
+            if let Ok(body) = body_end.await {
+                self.is_settled = true;
                 self.settle(Some(Known::Answered(Stored {
                     status,
                     content_type,
@@ -165,6 +182,7 @@
         });
     }
 
+    /// Reports the outcome to the control VMs; `None` frees the key.
     fn settle(&self, known: Option<Known>) {
         let query = Query::Settle {
             key: self.key,
@@ -177,15 +195,15 @@
             .context
             .reactor
             .send(Input::Query(query, sender));
-        // The query is repeated for as long as its receiver lives.
-        tokio::spawn(tokio::time::timeout(SETTLE, receiver));
+        // The reactor repeats the query until its receiver is dropped.
+        tokio::spawn(tokio::time::timeout(SETTLE_TIMEOUT, receiver));
     }
 }
 
 impl Drop for Claim {
     fn drop(&mut self) {
-        if !self.settled {
-            self.settle(self.sent.then_some(Known::Unknown));
+        if !self.is_settled {
+            self.settle(self.may_have_run.then_some(Known::Unknown));
         }
     }
 }
--- a/components/node/src/frontend/delivery.rs
+++ b/components/node/src/frontend/delivery.rs
@@ -1,5 +1,6 @@
-//! One delivery of a request to an endpoint, as far as it tells whether the request crashes
-//! endpoints.
+//! Deliveries of requests to endpoints, watched to find requests that crash their endpoints.
+//!
+//! A request that is suspected by several crashes is put into quarantine and refused.
 
 use super::listen::Frontend;
 use super::refusal::Refusal;
@@ -12,42 +13,46 @@
 use state::suspect::{Clearance, Crash, Successes};
 use std::sync::{Arc, MutexGuard, PoisonError};
 
-/// A delivery that is under way.
+/// A delivery of one request to one endpoint, in progress.
 pub(crate) struct Delivery {
     frontend: Arc<Frontend>,
     fingerprint: Fingerprint,
     customer: CustomerId,
-    sent: Stamp,
+    /// When the request was sent.
+    sent_at: Stamp,
 }
 
 impl Delivery {
-    /// A delivery that begins now.
+    /// Starts a delivery now.
     pub(crate) fn new(frontend: &Arc<Frontend>, call: &Call, customer: CustomerId) -> Self {
         Delivery {
             frontend: frontend.clone(),
             fingerprint: call.fingerprint(),
             customer,
-            sent: frontend.context.clock.stamp(),
+            sent_at: frontend.context.clock.stamp(),
         }
     }
 
-    /// Its endpoint broke it off.
-    pub(crate) fn broke_off(&self) {
+    /// Reports that the endpoint closed the connection before the end of its answer: the request
+    /// may have crashed it.
+    ///
+    /// Nothing is reported if a recent complete answer exonerates the request.
+    pub(crate) fn report_break(&self) {
         let crash = Crash {
             fingerprint: self.fingerprint,
             customer: self.customer,
-            sent: self.sent,
+            sent: self.sent_at,
             at: self.frontend.context.clock.stamp(),
         };
         if self.frontend.successes().exonerate(&crash) {
             return;
         }
-        // The reactor ends only together with this process.
+        // Sending fails only at the end of this process.
         let _ = self.frontend.context.reactor.send(Input::Crashed(crash));
     }
 
-    /// Its endpoint has answered whole, and not that it failed.
-    pub(crate) fn answered(&self) {
+    /// Reports that the endpoint has answered completely, and not with a server error.
+    pub(crate) fn report_success(&self) {
         let clearance = Clearance {
             fingerprint: self.fingerprint,
             at: self.frontend.context.clock.stamp(),
@@ -71,12 +76,17 @@
 }
 
 impl Frontend {
+    /// Fingerprints of requests that were answered completely not long ago.
     fn successes(&self) -> MutexGuard<'_, Successes> {
         let successes = self.successes.lock();
         successes.unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Refuses a request that is in quarantine.
+    ///
+    /// # Errors
+    ///
+    /// The refusal, if the request is in quarantine.
     pub(crate) fn check_quarantine(&self, call: &Call) -> Result<(), Refusal> {
         let verdicts = self.context.verdicts.borrow();
         if verdicts.is_empty() || !verdicts.is_quarantined(&call.fingerprint()) {
@@ -90,15 +100,15 @@
         let mut verdicts = self.context.verdicts.clone();
         let found = verdicts.wait_for(|v| !v.is_empty() && v.is_quarantined(&call.fingerprint()));
         if found.await.is_err() {
-            // The reactor has ended, and this process with it.
+            // The reactor has ended, so this process is ending too.
             std::future::pending::<()>().await;
         }
     }
 }
 
-/// The refusal of a request in quarantine. Its earlier tries may have run.
+/// Refusal of a request in quarantine, whose earlier tries may have run.
 pub(crate) fn quarantined() -> Refusal {
-    let text = "endpoints have crashed while they ran this request, one after the other; \
-                it is not sent to any more of them";
+    let text = "several endpoints have crashed while running this request; \
+                it is not sent to any other endpoint";
     Refusal::unknown(StatusCode::BAD_GATEWAY, "quarantined", text)
 }
--- a/components/node/src/frontend/listen.rs
+++ b/components/node/src/frontend/listen.rs
@@ -1,10 +1,10 @@
-//! Accepts callers' connections, within bounds.
+//! Accepts callers' connections within bounds, and holds the state that all of them share.
 
-use super::admit::BUSY;
-use super::guests::{Guests, Place};
+use super::admit::BUSY_CODE;
+use super::connections::{Registration, Registry};
 use super::pool::{Key, Pool};
 use super::refusal::Refusal;
-use super::serve::{serve, Until};
+use super::serve::{serve, AnswerDeadline};
 use crate::http::accept;
 use crate::input::Input;
 use crate::interface::Interface;
@@ -33,102 +33,103 @@
 use tokio::task::JoinSet;
 use transport::clock::Clock;
 
-/// Bytes of bodies that one unit of their memory stands for.
-pub(crate) const BODY_UNIT: usize = 1024;
+/// Bytes of request bodies per permit of the memory for bodies.
+pub(crate) const BODY_UNIT_BYTES: usize = 1024;
 
-/// Lines in a second that each tell of a request refused while tasks run late; the others
-/// are counted.
+/// Most log lines per second for requests that are refused while tasks run late; further refusals
+/// are only counted.
 ///
-/// A flooded router writes 1,500 of them a second, which took the processor from what it
-/// had let in: without them it served 32,858 requests instead of 31,294 of a day, and
-/// callers found no connection 349 times instead of 1,034.
-const BUSY_LINES: u64 = 20;
+/// A flooded router would write 1,500 such lines a second, at the expense of the requests that it
+/// has admitted.
+const MAX_BUSY_LINES_PER_S: u64 = 20;
 
-/// Time for a connection that rests to make room for a new one.
-const GIVE_WAY: Duration = Duration::from_millis(20);
+/// Longest time to wait for an idle connection to close and make room for a new one.
+const MAKE_ROOM_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Time between two looks at kept connections.
-const TEND: Duration = Duration::from_secs(1);
+/// Time between two checks of pooled connections and unread answers.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the callers' side is given.
+/// Settings and handles that the frontend is given at its start.
 pub(crate) struct Context {
-    /// Settings.
+    /// Settings of the callers' address.
     pub(crate) callers: Callers,
-    /// Requests of one customer that may wait here.
+    /// Most queued requests of one customer, unless the rule sets a limit.
     pub(crate) customer_queue_limit: u32,
-    /// What it may take on.
+    /// Memory and connections that this process may use.
     pub(crate) budget: Budget,
     /// How late tasks of this process run.
     pub(crate) lateness: Lateness,
-    /// Age of the last proof of the newest version past which customers are
-    /// refused, in milliseconds.
+    /// Greatest age, in milliseconds, of the last proof that this process has the newest version.
+    /// Past it, customers' requests are refused.
     pub(crate) max_proof_age_ms: Option<u64>,
-    /// How callers and endpoints speak.
+    /// Headers and statuses in the exchange with callers and endpoints.
     pub(crate) interface: Interface,
-    /// Bounds on retries.
+    /// Bounds on retries of each service.
     pub(crate) retry_bounds: retry::Bounds,
     /// Data centre of this VM.
     pub(crate) data_centre: Name,
     /// Incarnation of this process.
     pub(crate) incarnation: u64,
-    /// Clock.
+    /// Clock of this process.
     pub(crate) clock: Clock,
-    /// Time line.
+    /// Journal of the steps of requests.
     pub(crate) journal: Journal,
-    /// Metrics.
+    /// Metrics of this process.
     pub(crate) metrics: Metrics,
-    /// The reactor.
+    /// Input queue of the reactor.
     pub(crate) reactor: flume::Sender<Input>,
-    /// What is in force.
+    /// Configuration and state that the reactor publishes.
     pub(crate) published: watch::Receiver<Published>,
-    /// What is done with requests that may crash endpoints.
+    /// Requests that may crash endpoints, and which of them are in quarantine.
     pub(crate) verdicts: watch::Receiver<Arc<Verdicts>>,
 }
 
-/// The callers' side.
+/// HTTP server for callers: state that all connections and requests share.
 pub(crate) struct Frontend {
     pub(crate) context: Context,
-    pub(crate) requests: AtomicU64,
-    /// Retries that this router may add, by service.
-    budgets: Mutex<HashMap<ServiceId, retry::Budget>>,
-    /// Kept connections to endpoints.
+    /// Number of the next request.
+    pub(crate) next_request: AtomicU64,
+    /// Retry budgets by service.
+    retry_budgets: Mutex<HashMap<ServiceId, retry::Budget>>,
+    /// Idle connections to endpoints.
     pub(crate) pool: Arc<Pool>,
-    /// Memory for bodies, in units of [`BODY_UNIT`].
-    pub(crate) bodies: Arc<Semaphore>,
-    /// Units of it in all.
+    /// Memory for request bodies, in permits of [`BODY_UNIT_BYTES`].
+    pub(crate) body_memory: Arc<Semaphore>,
+    /// Total number of permits of `body_memory`.
     body_units: usize,
-    /// Places for callers' connections.
-    places: Arc<Semaphore>,
-    /// Which of them rest.
-    guests: Arc<Guests>,
-    /// Lines that tell of one request refused while tasks run late.
+    /// One permit per connection of a caller.
+    connection_permits: Arc<Semaphore>,
+    /// Open connections of callers, and which of them are idle.
+    registry: Arc<Registry>,
+    /// Rate limit of log lines for requests that are refused while tasks run late.
     busy_lines: Mutex<Ceiling>,
-    /// Requests that were answered whole of late.
+    /// Requests that were completely answered not long ago.
     pub(super) successes: Mutex<Successes>,
 }
 
 impl Frontend {
-    /// Makes it.
+    /// Creates the frontend; [`Frontend::run`] starts it.
     pub(crate) fn new(context: Context) -> Arc<Self> {
-        let units = usize::try_from(context.budget.body_bytes).unwrap_or(usize::MAX) / BODY_UNIT;
+        let units =
+            usize::try_from(context.budget.body_bytes).unwrap_or(usize::MAX) / BODY_UNIT_BYTES;
         let units = units.clamp(1, Semaphore::MAX_PERMITS);
         Arc::new(Frontend {
-            bodies: Arc::new(Semaphore::new(units)),
+            body_memory: Arc::new(Semaphore::new(units)),
             body_units: units,
-            places: Arc::new(Semaphore::new(context.budget.connections)),
-            busy_lines: Mutex::new(Ceiling::new(BUSY_LINES)),
+            connection_permits: Arc::new(Semaphore::new(context.budget.connections)),
+            busy_lines: Mutex::new(Ceiling::new(MAX_BUSY_LINES_PER_S)),
             successes: Mutex::default(),
             pool: Arc::new(Pool::new(context.budget.kept)),
-            guests: Guests::new(context.clock.clone()),
+            registry: Registry::new(context.clock.clone()),
             context,
-            requests: AtomicU64::new(0),
-            budgets: Mutex::default(),
+            next_request: AtomicU64::new(0),
+            retry_budgets: Mutex::default(),
         })
     }
 
-    /// Whether a refusal has a line of its own.
-    pub(crate) fn tells(&self, refusal: &Refusal) -> bool {
-        if refusal.code != BUSY {
+    /// Whether a refusal is logged, and not only counted.
+    pub(crate) fn should_log(&self, refusal: &Refusal) -> bool {
+        if refusal.code != BUSY_CODE {
             return true;
         }
         let lines = self.busy_lines.lock();
@@ -136,64 +137,70 @@
         lines.admits(self.context.clock.now())
     }
 
-    /// Callers' connections that are open.
+    /// Number of open connections of callers.
     pub(crate) fn connections(&self) -> usize {
-        let free = self.places.available_permits();
+        let free = self.connection_permits.available_permits();
         self.context.budget.connections.saturating_sub(free)
     }
 
-    /// Counts the first try of a request.
+    /// Adds to the retry budget of a service for the first try of a request.
     pub(crate) fn earn_retries(&self, service: ServiceId) {
         let now = self.context.clock.now();
         let routers = self.context.published.borrow().routers;
         self.with_budget(service, |budget| budget.earn(now, routers));
     }
 
-    /// Works with the budget of a service.
+    /// Runs `work` on the retry budget of a service.
     pub(crate) fn with_budget<F, R>(&self, service: ServiceId, work: F) -> R
     where
         F: FnOnce(&mut retry::Budget) -> R,
     {
-        let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut retry_budgets = self
+            .retry_budgets
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let now = self.context.clock.now();
         let bounds = self.context.retry_bounds;
-        work((budgets.entry(service)).or_insert_with(|| retry::Budget::new(bounds, now)))
+        work((retry_budgets.entry(service)).or_insert_with(|| retry::Budget::new(bounds, now)))
     }
 
-    /// Closes kept connections that have grown old, or whose endpoint has gone.
-    async fn tend_pool(self: Arc<Self>, mut stop: watch::Receiver<bool>) {
-        let mut period = tokio::time::interval(TEND);
+    /// Periodically closes pooled connections that are too old or whose endpoint is removed, closes
+    /// connections with unread answers, and updates the gauges.
+    async fn maintain(self: Arc<Self>, mut stop: watch::Receiver<bool>) {
+        let mut interval = tokio::time::interval(MAINTENANCE_INTERVAL);
         loop {
             tokio::select! {
-                _ = period.tick() => {}
+                _ = interval.tick() => {}
                 () = raised(&mut stop) => return,
             }
             let view = self.context.published.borrow().view.clone();
-            let lives = |(id, address): &Key| {
+            let is_live = |(id, address): &Key| {
                 let found = view.config.endpoints.get(id);
-                // One that is not held here may live: its connections end by their age.
+                // A partial view may lack a live endpoint; connections to it are closed by age.
                 found.map_or(view.is_partial(), |e| e.address == *address)
             };
-            self.pool.prune(lives);
-            let unread = self.guests.end_unread();
+            self.pool.prune(is_live);
+            let unread = self.registry.close_unread();
             if unread > 0 {
                 tracing::info!(event = Line::AnswersUnread.as_str(), connections = unread);
             }
-            self.measure();
+            self.update_gauges();
         }
     }
 
-    fn measure(&self) {
+    /// Updates the gauges of pooled connections, memory for bodies and the reactor's queue.
+    fn update_gauges(&self) {
         let metrics = &self.context.metrics;
         metrics.kept.set(value(self.pool.len()));
-        let free = self.bodies.available_permits();
-        let taken = self.body_units.saturating_sub(free) * BODY_UNIT;
+        let free = self.body_memory.available_permits();
+        let taken = self.body_units.saturating_sub(free) * BODY_UNIT_BYTES;
         metrics.body_bytes.set(value(taken));
         metrics.inputs.set(value(self.context.reactor.len()));
     }
 
-    /// The next connection that is let in; while tasks run late others are closed unread.
-    async fn next(&self, listener: &TcpListener) -> TcpStream {
+    /// Accepts the next connection. While tasks run late, connections are closed unread until one
+    /// is admitted.
+    async fn accept_next(&self, listener: &TcpListener) -> TcpStream {
         loop {
             if !self.context.lateness.may_accept() {
                 tokio::time::sleep(PROBE).await;
@@ -203,70 +210,75 @@
             if self.context.lateness.connection() == Intake::Take {
                 return stream;
             }
-            // Its task would run after all that is late.
+            // The connection's task would only run after all tasks that are already late.
             self.context.metrics.turned_away.inc();
         }
     }
 
-    /// A place for a connection; where all are taken, that of the one which has rested longest.
-    async fn place(&self) -> Option<OwnedSemaphorePermit> {
-        if let Ok(place) = self.places.clone().try_acquire_owned() {
-            return Some(place);
+    /// Takes a permit for a connection. If none is left, the connection that has been idle longest
+    /// is closed for it.
+    async fn permit(&self) -> Option<OwnedSemaphorePermit> {
+        if let Ok(permit) = self.connection_permits.clone().try_acquire_owned() {
+            return Some(permit);
         }
-        if !self.guests.make_room() {
+        if !self.registry.make_room() {
             return None;
         }
-        let place = self.places.clone().acquire_owned();
-        tokio::time::timeout(GIVE_WAY, place).await.ok()?.ok()
+        let permit = self.connection_permits.clone().acquire_owned();
+        tokio::time::timeout(MAKE_ROOM_TIMEOUT, permit)
+            .await
+            .ok()?
+            .ok()
     }
 
-    /// Serves until `stop` turns true; then lets connections end what they hold.
+    /// Serves connections until `stop` turns true, and then waits for the requests in progress.
     pub(crate) async fn run(
         self: Arc<Self>,
         listener: TcpListener,
         mut stop: watch::Receiver<bool>,
     ) {
         let mut tasks = JoinSet::new();
-        tasks.spawn(self.clone().tend_pool(stop.clone()));
+        tasks.spawn(self.clone().maintain(stop.clone()));
         loop {
             let stream = tokio::select! {
-                stream = self.next(&listener) => stream,
+                stream = self.accept_next(&listener) => stream,
                 Some(_) = tasks.join_next() => continue,
                 () = raised(&mut stop) => break,
             };
-            let Some(place) = self.place().await else {
-                // Past the bound a connection is closed at once: it costs nothing.
+            let Some(permit) = self.permit().await else {
+                // A connection above the bound is closed at once, which costs almost nothing.
                 self.context.metrics.turned_away.inc();
                 continue;
             };
             let (frontend, stop) = (self.clone(), stop.clone());
             tasks.spawn(async move {
-                frontend.connection(stream, stop).await;
-                drop(place);
+                frontend.serve_connection(stream, stop).await;
+                drop(permit);
             });
         }
         drop(listener);
         while tasks.join_next().await.is_some() {}
     }
 
-    async fn connection(self: Arc<Self>, stream: TcpStream, mut stop: watch::Receiver<bool>) {
-        // Small events must not wait for more of them.
+    /// Serves the requests on one connection.
+    async fn serve_connection(self: Arc<Self>, stream: TcpStream, mut stop: watch::Receiver<bool>) {
+        // Small events of a streamed answer are sent without delay.
         let _ = stream.set_nodelay(true);
         self.context.metrics.connections.inc();
         self.context.metrics.accepted.inc();
-        let place = Arc::new(self.guests.open());
-        let (frontend, of) = (self.clone(), place.clone());
+        let registration = Arc::new(self.registry.open());
+        let (frontend, shared) = (self.clone(), registration.clone());
         let service = service_fn(move |request| {
-            let (frontend, in_use) = (frontend.clone(), of.begin());
-            // Boxed, so that a connection holds it only while a request is on it.
+            let (frontend, activity) = (frontend.clone(), shared.begin());
+            // Boxed, so that an idle connection does not hold the memory of a request.
             Box::pin(async move {
                 let reply = serve(frontend, request).await?;
-                if let Some(Until(at)) = reply.extensions().get() {
-                    in_use.answers_until(*at);
+                if let Some(AnswerDeadline(at)) = reply.extensions().get() {
+                    activity.set_answer_deadline(*at);
                 }
-                // It is in use until its answer has been passed on.
+                // The connection is busy until the answer has been relayed.
                 let held = move |frame| {
-                    let _ = &in_use;
+                    let _ = &activity;
                     frame
                 };
                 Ok::<_, std::convert::Infallible>(reply.map(|body| body.map_frame(held)))
@@ -281,8 +293,8 @@
         let ended = tokio::select! {
             ended = connection.as_mut() => Some(ended),
             () = raised(&mut stop) => None,
-            () = Place::until_told(&place) => None,
-            () = Place::until_unread(&place) => Some(Ok(())),
+            () = Registration::until_idle_close(&registration) => None,
+            () = Registration::until_unread_close(&registration) => Some(Ok(())),
         };
         let ended = match ended {
             Some(ended) => ended,
@@ -290,12 +302,12 @@
                 connection.as_mut().graceful_shutdown();
                 tokio::select! {
                     ended = connection => ended,
-                    () = Place::until_unread(&place) => Ok(()),
+                    () = Registration::until_unread_close(&registration) => Ok(()),
                 }
             }
         };
         if let Err(error) = ended {
-            tracing::debug!(%error, "a caller's connection ended early");
+            tracing::debug!(%error, "a caller's connection failed");
         }
         self.context.metrics.connections.dec();
     }
--- a/components/node/src/frontend/mod.rs
+++ b/components/node/src/frontend/mod.rs
@@ -1,17 +1,17 @@
-//! The callers' side of a router.
+//! The HTTP server of a router: it accepts callers' requests and relays them to endpoints.
 
+mod access_log;
 mod admit;
 mod claim;
+mod connections;
 mod delivery;
-mod flow;
-mod guests;
 mod listen;
-mod note;
 mod plan;
 mod pool;
 mod refusal;
 mod relay;
 mod serve;
+mod timing;
 mod upstream;
 
 pub(crate) use listen::{Context, Frontend};
--- a/components/node/src/frontend/plan.rs
+++ b/components/node/src/frontend/plan.rs
@@ -1,6 +1,7 @@
-//! Which rule decides a request, and what follows from it.
+//! Routing plan of a request: the rule that matches, and the service, limits and deadline that
+//! follow from it.
 
-use super::admit::check_proof;
+use super::admit::check_proof_age;
 use super::listen::Frontend;
 use super::refusal::Refusal;
 use super::upstream::Call;
@@ -18,37 +19,48 @@
 use state::secret::Hash;
 use std::time::Duration;
 
-/// Retries of a request, unless its rule says otherwise.
-const RETRIES: u32 = 2;
-/// Stands for all callers without a customer's key.
-const ANONYMOUS: CustomerId = CustomerId(u32::MAX);
-/// Bytes at the start of a body that stand for its prompt's prefix.
-const PREFIX: usize = 256;
-/// Tokens that are expected to be generated when the caller does not say.
-const OUTPUT: u32 = 256;
+/// Retries of a request whose rule sets no number.
+const DEFAULT_RETRIES: u32 = 2;
+/// Customer that all callers without a customer's key are accounted to.
+const ANONYMOUS_CUSTOMER: CustomerId = CustomerId(u32::MAX);
+/// Bytes at the start of a body that are hashed as its prompt's prefix if the caller sends no hash.
+const PREFIX_BYTES: usize = 256;
+/// Tokens that a model is expected to generate if the caller does not say.
+const DEFAULT_OUTPUT_TOKENS: u32 = 256;
 
-/// Why a request is refused that no endpoint takes work for.
-pub(super) const NO_ENDPOINT: &str = "no endpoint serves this request at the moment";
-/// Time after which its caller may come back.
-pub(super) const NO_ENDPOINT_RETURN: Duration = Duration::from_secs(1);
+/// Text of a refusal because no endpoint of the service accepts requests.
+pub(super) const NO_ENDPOINT_TEXT: &str = "no endpoint is available for this request";
+/// Retry-After of such a refusal.
+pub(super) const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What a rule decided for a request.
+/// What the matching rule decides for a request.
 pub(super) struct Plan {
+    /// Name of the rule that matched.
     pub(super) rule: Name,
+    /// Customer, or [`ANONYMOUS_CUSTOMER`].
     pub(super) customer: CustomerId,
     pub(super) service: ServiceId,
     pub(super) service_name: Name,
+    /// Unit in which the service counts cost.
     pub(super) cost: Cost,
-    /// Set when the endpoints are model engines.
+    /// Settings of the engines, if the service's endpoints are model engines.
     pub(super) engine: Option<Engine>,
     /// Time from the request's arrival to the end of its answer.
     pub(super) timeout: Duration,
+    /// Whether the request may run more than once.
     pub(super) idempotent: bool,
+    /// Most retries of the request.
     pub(super) retries: u32,
+    /// The request as the dispatcher queues it.
     pub(super) arrival: Arrival,
 }
 
-/// Finds the rule that decides, and what follows from it.
+/// Finds the rule that matches the request, and makes the plan that follows from it.
+///
+/// # Errors
+///
+/// The refusal, if no rule matches, the rule refuses the request, or the customer may not reach
+/// the service.
 pub(super) fn plan(
     frontend: &Frontend,
     published: &Published,
@@ -58,15 +70,16 @@
     let config = &published.view.config;
     let key = asked.key.as_ref();
     let id = key.and_then(|k| published.index.customer(k));
-    let known = id.and_then(|id| Some((id, config.customers.get(&id)?)));
-    let decided = decide(
+    let customer = id.and_then(|id| Some((id, config.customers.get(&id)?)));
+    let decided = match_rule(
         frontend,
         published,
         asked,
         call,
-        known.map(|(_, c)| &c.name),
+        customer.map(|(_, c)| &c.name),
     );
-    let (place, rule) = decided.map_err(|refusal| doubt(frontend, published, refusal))?;
+    let (rule_index, rule) =
+        decided.map_err(|refusal| refuse_if_current(frontend, published, refusal))?;
     let send = match &rule.then {
         Then::Refuse { reason } => {
             let status = StatusCode::FORBIDDEN;
@@ -74,14 +87,14 @@
         }
         Then::Send(send) => send,
     };
-    if known.is_none() && !send.anonymous {
-        return Err(doubt(frontend, published, unknown_customer()));
+    if customer.is_none() && !send.anonymous {
+        return Err(refuse_if_current(frontend, published, unknown_customer()));
     }
-    if known.is_some() {
-        check_proof(frontend, published)?;
+    if customer.is_some() {
+        check_proof_age(frontend, published)?;
     }
     let service = send.service(rand::random()).ok_or_else(no_endpoint)?;
-    if let Some((_, customer)) = known {
+    if let Some((_, customer)) = customer {
         check_service(customer, service)?;
         call.customer = Some(customer.name.clone());
     }
@@ -90,13 +103,13 @@
     let (service_id, settings) = found.ok_or_else(no_endpoint)?;
     let timeout = Duration::from_millis(send.timeout_ms.unwrap_or(settings.timeout_ms));
     let timeout = asked.patience.map_or(timeout, |p| p.min(timeout));
-    let prompt = prompt(asked, settings, call);
+    let prompt = prompt_of(asked, settings, call);
     let class = Class {
-        customer: known.map_or(ANONYMOUS, |(id, _)| id),
-        rule: place,
+        customer: customer.map_or(ANONYMOUS_CUSTOMER, |(id, _)| id),
+        rule: rule_index,
     };
     let homes = Homes::of(&send.regions);
-    let homes = homes.and(known.map_or(Homes::default(), |(_, c)| Homes::of(&c.regions)));
+    let homes = homes.and(customer.map_or(Homes::default(), |(_, c)| Homes::of(&c.regions)));
     if homes.is_empty() {
         return Err(no_endpoint());
     }
@@ -104,15 +117,17 @@
     let arrival = Arrival {
         service: service_id,
         class,
-        weight: send.weight.unwrap_or(known.map_or(1, |(_, c)| c.weight)),
-        priority: known.and_then(|(_, c)| c.priority).unwrap_or(send.priority),
+        weight: send.weight.unwrap_or(customer.map_or(1, |(_, c)| c.weight)),
+        priority: customer
+            .and_then(|(_, c)| c.priority)
+            .unwrap_or(send.priority),
         rate: send.limits.rate.unwrap_or(0),
         concurrency: send.limits.concurrency.unwrap_or(0),
         queue: send
             .limits
             .queue
             .unwrap_or(frontend.context.customer_queue_limit),
-        hint: hint(asked, settings, &prompt),
+        hint: expected_cost(asked, settings, &prompt),
         prompt,
         bytes: call.body.len() as u64,
         homes,
@@ -128,22 +143,25 @@
         engine: settings.engine,
         timeout,
         idempotent: rule::idempotent(send.idempotent, settings, call.method.as_str()),
-        retries: send.retries.unwrap_or(RETRIES),
+        retries: send.retries.unwrap_or(DEFAULT_RETRIES),
         arrival,
     })
 }
 
-/// A refusal, or that it is not known whether it would be right.
+/// Returns `refusal` if this router's configuration is current enough, and else the refusal that
+/// it is stale.
 ///
-/// A router that is cut off lacks keys and rules that were added since. Told that
-/// theirs does not exist, callers would give up, though any other router serves
-/// them.
-fn doubt(frontend: &Frontend, published: &Published, refusal: Refusal) -> Refusal {
-    check_proof(frontend, published).err().unwrap_or(refusal)
+/// A router that is partitioned from the control VMs lacks keys and rules that were added since.
+/// Callers that are told that their key does not exist would give up, although any other
+/// router would serve them.
+fn refuse_if_current(frontend: &Frontend, published: &Published, refusal: Refusal) -> Refusal {
+    check_proof_age(frontend, published)
+        .err()
+        .unwrap_or(refusal)
 }
 
-/// The rule that decides, or why none does.
-fn decide<'a>(
+/// Finds the rule that matches, with its index; refuses the request if none does.
+fn match_rule<'a>(
     frontend: &Frontend,
     published: &'a Published,
     asked: &Asked,
@@ -168,7 +186,7 @@
     };
     let found = rule::decide(&config.rules, published.index.routes(), &request);
     found.ok_or_else(|| {
-        if customer.is_none() && config.rules.iter().any(is_for_some) {
+        if customer.is_none() && config.rules.iter().any(names_customers) {
             return unknown_customer();
         }
         let text = "no rule matches this request";
@@ -176,12 +194,12 @@
     })
 }
 
-/// Whether a rule names the customers that it is for.
-fn is_for_some(rule: &Rule) -> bool {
+/// Whether a rule applies only to named customers.
+fn names_customers(rule: &Rule) -> bool {
     !rule.when.customers.is_empty()
 }
 
-/// Host that the caller names, in lower case, without a port.
+/// Host that the request names, in lower case and without a port.
 fn host(headers: &HeaderMap, uri: &Uri) -> Option<String> {
     let named = headers
         .get(hyper::header::HOST)
@@ -194,17 +212,18 @@
     Some(name.to_ascii_lowercase())
 }
 
+/// Refuses a customer's request for a service that the customer may not reach.
 fn check_service(customer: &Customer, service: &Name) -> Result<(), Refusal> {
     if customer.services.contains(service) {
         return Ok(());
     }
-    let text = format!("this customer may not reach {service}");
+    let text = format!("this customer may not use the service {service}");
     let status = StatusCode::FORBIDDEN;
     Err(Refusal::not_run(status, "service-not-allowed", text))
 }
 
-/// Expected cost, in units of the service.
-fn hint(asked: &Asked, service: &Service, prompt: &Prompt) -> u32 {
+/// Expected cost of the request, in units of the service.
+fn expected_cost(asked: &Asked, service: &Service, prompt: &Prompt) -> u32 {
     match service.cost {
         Cost::Request => 1,
         Cost::Event | Cost::Time => asked.size.unwrap_or(service.estimate).max(1),
@@ -212,28 +231,28 @@
     }
 }
 
-/// Cost of a request in tokens: each token read once, each generated twice.
+/// Cost of a request in tokens: a prompt token counts once, a generated token twice.
 pub(super) fn token_cost(prompt: &Prompt, generated: u32) -> u32 {
     let read = u32::try_from(prompt.tokens()).unwrap_or(u32::MAX);
     read.saturating_add(generated.saturating_mul(2)).max(1)
 }
 
-/// What is known of the prompt; the start of the body stands in for it where the
-/// caller says nothing.
-fn prompt(asked: &Asked, service: &Service, call: &Call) -> Prompt {
+/// Description of the prompt for placement. If the caller sends none, the prefix is the hash of the
+/// start of the body.
+fn prompt_of(asked: &Asked, service: &Service, call: &Call) -> Prompt {
     if asked.prompt.first() == 0 {
-        return Prompt::of_prefix(prefix(&call.body));
+        return Prompt::of_prefix(prefix_hash(&call.body));
     }
     let mut prompt = asked.prompt;
     if prompt.output == 0 && service.engine.is_some() {
-        prompt.output = OUTPUT;
+        prompt.output = DEFAULT_OUTPUT_TOKENS;
     }
     prompt
 }
 
-/// Hash of the start of a body, 0 for a body that is too short to have one.
-fn prefix(body: &Bytes) -> u32 {
-    match body.get(..PREFIX) {
+/// Hash of the first [`PREFIX_BYTES`] of a body; 0 for a shorter body.
+fn prefix_hash(body: &Bytes) -> u32 {
+    match body.get(..PREFIX_BYTES) {
         Some(start) => {
             let Hash(bytes) = Hash::of(&[start]);
             u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]).max(1)
@@ -246,12 +265,15 @@
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
+/// Refusal of a request whose key belongs to no customer.
 fn unknown_customer() -> Refusal {
-    let text = "send a customer's key";
+    let text = "the request has no key of a known customer";
     Refusal::not_run(StatusCode::UNAUTHORIZED, "unknown-customer", text)
 }
 
+/// Refusal of a request for whose service no endpoint is available.
 pub(super) fn no_endpoint() -> Refusal {
     let status = StatusCode::SERVICE_UNAVAILABLE;
-    Refusal::not_run(status, "no-endpoint", NO_ENDPOINT).after_time(NO_ENDPOINT_RETURN)
+    Refusal::not_run(status, "no-endpoint", NO_ENDPOINT_TEXT)
+        .with_retry_after(NO_ENDPOINT_RETRY_AFTER)
 }
--- a/components/node/src/frontend/pool.rs
+++ b/components/node/src/frontend/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to endpoints.
+//! Pool of idle connections to endpoints, and how a new connection is opened.
 
 use bytes::Bytes;
 use errors::{Error, Result};
@@ -16,28 +16,29 @@
 
 /// Longest time to connect to an endpoint.
 ///
-/// Connecting within a region takes some milliseconds; one that has not
-/// answered after this is cut off or down, or the packet was lost, and another
-/// endpoint is quicker than its next one a second later.
-const CONNECT: Duration = Duration::from_millis(300);
-/// Time for which a connection is kept idle when its endpoint tells none.
-const IDLE: Duration = Duration::from_secs(4);
-/// Longest time for which one is kept, whatever the endpoint tells.
-const IDLE_MAX: Duration = Duration::from_secs(15);
-/// Part of the time that an endpoint tells for which a connection is used, in
-/// hundredths: at its end both sides could act at once.
-const IDLE_PERCENT: u32 = 60;
-/// Longest idle time before a request that must not run twice.
+/// Connecting within a region takes a few milliseconds. An endpoint that has not answered by
+/// then is unreachable or down, or the packet was lost; another endpoint is faster than
+/// the system's retransmission after one second.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time for which an idle connection is kept if its endpoint announces no keep-alive time.
+const DEFAULT_KEEP: Duration = Duration::from_secs(4);
+/// Longest time for which an idle connection is kept, whatever its endpoint announces.
+const MAX_KEEP: Duration = Duration::from_secs(15);
+/// Percentage of the announced keep-alive time for which a connection is used. Close to the end
+/// of that time, the endpoint could close the connection while a request is sent on it.
+const KEEP_ALIVE_PERCENT: u32 = 60;
+/// Longest idle time of a connection that is used for a request that must not run twice.
 ///
-/// An endpoint may drop an idle connection without notice. A request that is
-/// sent on it is lost, and nobody knows whether it ran.
-const IDLE_ONCE: Duration = Duration::from_millis(1500);
-/// Idle connections kept to one endpoint.
-const KEPT: usize = 16;
+/// An endpoint may drop an idle connection without notice. A request sent on such a connection
+/// is lost, and whether it ran is unknown.
+const AT_MOST_ONCE_MAX_IDLE: Duration = Duration::from_millis(1500);
+/// Most idle connections kept to one endpoint.
+const MAX_IDLE_PER_ENDPOINT: usize = 16;
 
-/// A connection to an endpoint, closed when dropped.
+/// An HTTP connection to an endpoint, closed when dropped.
 pub(crate) struct Connection {
     pub(crate) sender: SendRequest<Full<Bytes>>,
+    /// Task that moves bytes on the connection.
     driver: JoinHandle<()>,
 }
 
@@ -47,39 +48,42 @@
     }
 }
 
+/// An idle connection in the pool.
 struct Idle {
     connection: Connection,
+    /// When the connection became idle.
     since: Instant,
+    /// Time for which it may stay idle.
     keep: Duration,
 }
 
-/// One start of an endpoint at its address: a change may give it another one.
+/// An endpoint at one address. A configuration change may move the endpoint to another address.
 pub(crate) type Key = (EndpointId, SocketAddr);
 
 /// Idle connections by endpoint.
 pub(crate) struct Pool {
-    /// Connections that may be kept in all.
-    most: usize,
+    /// Most idle connections to all endpoints together.
+    capacity: usize,
     idle: Mutex<HashMap<Key, Vec<Idle>>>,
 }
 
 impl Pool {
-    /// An empty pool of at most so many connections.
-    pub(crate) fn new(most: usize) -> Self {
+    /// Creates an empty pool for at most `capacity` connections.
+    pub(crate) fn new(capacity: usize) -> Self {
         Pool {
-            most,
+            capacity,
             idle: Mutex::default(),
         }
     }
 
-    /// An idle connection to an endpoint, the one used last. With `once`, only
-    /// one that was used a moment ago.
-    pub(crate) fn take(&self, endpoint: &Key, once: bool) -> Option<Connection> {
+    /// Takes the most recently used idle connection to an endpoint. With `at_most_once`, a
+    /// connection that has been idle for longer than [`AT_MOST_ONCE_MAX_IDLE`] is dropped.
+    pub(crate) fn take(&self, endpoint: &Key, at_most_once: bool) -> Option<Connection> {
         let mut idle = self.lock();
-        let kept = idle.get_mut(endpoint)?;
-        while let Some(found) = kept.pop() {
+        let connections = idle.get_mut(endpoint)?;
+        while let Some(found) = connections.pop() {
             let age = found.since.elapsed();
-            let fresh = age < found.keep && (!once || age < IDLE_ONCE);
+            let fresh = age < found.keep && (!at_most_once || age < AT_MOST_ONCE_MAX_IDLE);
             if fresh && found.connection.sender.is_ready() {
                 return Some(found.connection);
             }
@@ -87,42 +91,44 @@
         None
     }
 
-    /// Keeps a connection whose answer has ended, for as long as its endpoint
-    /// says that it will.
-    pub(crate) fn put(&self, endpoint: &Key, connection: Connection, told: Option<Duration>) {
+    /// Keeps a connection whose answer has ended. `keep_alive` is the time for which the endpoint
+    /// announced that it keeps the connection open.
+    pub(crate) fn put(&self, endpoint: &Key, connection: Connection, keep_alive: Option<Duration>) {
         if connection.sender.is_closed() {
             return;
         }
-        let keep = told.map_or(IDLE, |told| told * IDLE_PERCENT / 100);
+        let keep = keep_alive.map_or(DEFAULT_KEEP, |keep_alive| {
+            keep_alive * KEEP_ALIVE_PERCENT / 100
+        });
         let mut idle = self.lock();
-        // Counted over all endpoints: there may be a thousand of them.
-        if idle.values().map(Vec::len).sum::<usize>() >= self.most {
+        // The bound is on the sum, since there may be a thousand endpoints.
+        if idle.values().map(Vec::len).sum::<usize>() >= self.capacity {
             return;
         }
-        let kept = idle.entry(*endpoint).or_default();
-        if kept.len() >= KEPT {
-            kept.remove(0);
+        let connections = idle.entry(*endpoint).or_default();
+        if connections.len() >= MAX_IDLE_PER_ENDPOINT {
+            connections.remove(0);
         }
-        kept.push(Idle {
+        connections.push(Idle {
             connection,
             since: Instant::now(),
-            keep: keep.min(IDLE_MAX),
+            keep: keep.min(MAX_KEEP),
         });
     }
 
-    /// Closes what has been idle for too long, and all to endpoints that `lives`
-    /// refuses.
-    pub(crate) fn prune<F>(&self, lives: F)
+    /// Closes connections that have been idle for too long, and all connections to endpoints for
+    /// which `is_live` is false.
+    pub(crate) fn prune<F>(&self, is_live: F)
     where
         F: Fn(&Key) -> bool,
     {
-        self.lock().retain(|endpoint, kept| {
-            kept.retain(|i| i.since.elapsed() < i.keep && !i.connection.sender.is_closed());
-            !kept.is_empty() && lives(endpoint)
+        self.lock().retain(|endpoint, connections| {
+            connections.retain(|i| i.since.elapsed() < i.keep && !i.connection.sender.is_closed());
+            !connections.is_empty() && is_live(endpoint)
         });
     }
 
-    /// Idle connections in all.
+    /// Number of idle connections to all endpoints.
     pub(crate) fn len(&self) -> usize {
         self.lock().values().map(Vec::len).sum()
     }
@@ -136,24 +142,24 @@
 ///
 /// # Errors
 ///
-/// [`Error::Peer`] if the endpoint could not be reached; another one if this process could
-/// not try.
+/// [`Error::Peer`] if the endpoint cannot be reached; another error if this process has no file
+/// descriptor left for the connection.
 pub(crate) async fn connect(address: SocketAddr) -> Result<Connection> {
     let step = "connect to an endpoint";
-    let stream = tokio::time::timeout(CONNECT, TcpStream::connect(address))
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
         .map_err(Error::peer(step, address))?
         .map_err(|error| match descriptor::are_out(&error) {
             true => Error::file("open a socket", "(this process)")(error),
             false => Error::peer(step, address)(error),
         })?;
-    // Small requests must not wait for more.
+    // Small requests are sent without delay.
     let _ = stream.set_nodelay(true);
     let (sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(Error::peer(step, address))?;
     let driver = tokio::spawn(async move {
-        // Its error reaches the request or the body as well.
+        // The request or its body reports the same error.
         let _ = connection.await;
     });
     Ok(Connection { sender, driver })
--- a/components/node/src/frontend/refusal.rs
+++ b/components/node/src/frontend/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers that the router gives itself.
+//! Refusals: answers that the router gives itself, in place of an endpoint.
 
 use crate::interface::{Interface, IDENTITY};
 use bytes::Bytes;
@@ -10,24 +10,27 @@
 use state::outcome::Outcome;
 use std::time::Duration;
 
-/// Header that says whether the request was run.
-pub(crate) const OUTCOME: &str = "cowslipford-outcome";
+/// Header that says whether an endpoint has run the request.
+pub(crate) const OUTCOME_HEADER: &str = "cowslipford-outcome";
 
-/// Why a request is not answered by an endpoint.
+/// Why the router refuses a request, as the caller is told.
 #[derive(Clone, Debug)]
 pub(crate) struct Refusal {
     pub(crate) status: StatusCode,
+    /// Machine-readable reason; callers and operators match it.
     pub(crate) code: &'static str,
+    /// Reason in words.
     pub(crate) message: String,
+    /// Whether an endpoint may have run the request.
     pub(crate) outcome: Outcome,
-    /// Time after which coming back makes sense.
+    /// Time after which the caller should retry.
     pub(crate) retry_after: Option<Duration>,
-    /// What a scheduler knew that refused it.
+    /// The scheduler's refusal with the estimate behind it, if a scheduler refused the request.
     pub(crate) basis: Option<ask::Refusal>,
 }
 
 impl Refusal {
-    /// A refusal of a request that no endpoint has seen.
+    /// Refuses a request that no endpoint has run.
     pub(crate) fn not_run<M>(status: StatusCode, code: &'static str, message: M) -> Self
     where
         M: Into<String>,
@@ -42,7 +45,7 @@
         }
     }
 
-    /// A refusal of a request that may have run.
+    /// Refuses a request that an endpoint may have run.
     pub(crate) fn unknown<M>(status: StatusCode, code: &'static str, message: M) -> Self
     where
         M: Into<String>,
@@ -53,18 +56,18 @@
         }
     }
 
-    /// Says when to come back.
-    pub(crate) fn after(self, seconds: u32) -> Self {
-        self.after_time(Duration::from_secs(u64::from(seconds)))
+    /// Tells the caller to retry after some seconds.
+    pub(crate) fn with_retry_after_s(self, seconds: u32) -> Self {
+        self.with_retry_after(Duration::from_secs(u64::from(seconds)))
     }
 
-    /// Says when to come back.
-    pub(crate) fn after_time(mut self, time: Duration) -> Self {
+    /// Tells the caller to retry after some time.
+    pub(crate) fn with_retry_after(mut self, time: Duration) -> Self {
         self.retry_after = Some(time);
         self
     }
 
-    /// The answer.
+    /// Builds the HTTP response that the caller receives.
     pub(crate) fn response(&self, id: RequestId, interface: &Interface) -> Response<Full<Bytes>> {
         let body = serde_json::json!({
             "error": self.code,
@@ -76,22 +79,25 @@
         *response.status_mut() = (interface.status)(self.status, self.outcome);
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        headers.insert(OUTCOME, HeaderValue::from_static(self.outcome.as_str()));
-        insert(headers, IDENTITY, &id.to_string());
+        headers.insert(
+            OUTCOME_HEADER,
+            HeaderValue::from_static(self.outcome.as_str()),
+        );
+        set_header(headers, IDENTITY, &id.to_string());
         if let Some(time) = self.retry_after {
-            // Whole seconds where they are whole: not every caller reads fractions.
+            // Whole seconds have no decimals, since not every caller parses fractions.
             let text = match time.subsec_millis() {
                 0 => time.as_secs().to_string(),
                 millis => format!("{}.{millis:03}", time.as_secs()),
             };
-            insert(headers, "retry-after", &text);
+            set_header(headers, "retry-after", &text);
         }
         response
     }
 }
 
-/// Sets a header whose value this process made.
-pub(crate) fn insert(headers: &mut hyper::HeaderMap, name: &'static str, value: &str) {
+/// Sets a header. A value that is no valid header value is left out.
+pub(crate) fn set_header(headers: &mut hyper::HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(HeaderName::from_static(name), value);
     }
--- a/components/node/src/frontend/relay.rs
+++ b/components/node/src/frontend/relay.rs
@@ -1,7 +1,7 @@
-//! Passes an answer's body through to the caller, and counts its cost.
+//! Relays an answer's body to the caller, and meters its cost.
 
+use super::access_log::{Entry, BROKE_OFF};
 use super::delivery::Delivery;
-use super::note::{Note, BROKE_OFF};
 use super::plan::token_cost;
 use super::pool::{Connection, Key, Pool};
 use crate::input::Input;
@@ -23,33 +23,37 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// Bytes of an answer that are kept for a resend of a claimed request.
-pub(crate) const KEEP_MAX: usize = 16 * 1024;
-/// Time for which a caller may leave a piece unread before its endpoint may cut the answer off
-/// for that, and time in which that shows once it reads on.
-const UNREAD: Duration = Duration::from_secs(1);
+/// Longest answer that is stored for resends of a request with an idempotency key.
+pub(crate) const MAX_REPLAY_BYTES: usize = 16 * 1024;
+/// Pause of a caller's reading after which an endpoint may break off the answer because of it. An
+/// answer that breaks off within this time after such a pause is attributed to the caller.
+const SLOW_READ_PAUSE: Duration = Duration::from_secs(1);
 
-/// A dispatched request; when dropped, its slot is given back.
+/// A dispatched request, which holds a slot of its endpoint. The slot is released when this value
+/// is dropped.
 pub(crate) struct Slot {
+    /// The request in the dispatcher.
     pub(crate) handle: Handle,
     pub(crate) id: RequestId,
-    pub(crate) cost: Meter,
+    pub(crate) meter: Meter,
+    /// What the request's end says of the endpoint's health.
     pub(crate) verdict: Verdict,
-    pub(crate) armed: bool,
+    /// Whether dropping this value releases the slot.
+    pub(crate) is_armed: bool,
     pub(crate) reactor: flume::Sender<Input>,
     pub(crate) journal: Journal,
 }
 
 impl Slot {
-    /// Lets go of the slot without giving it back.
+    /// Drops this value without releasing the slot.
     pub(crate) fn disarm(mut self) {
-        self.armed = false;
+        self.is_armed = false;
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        if !self.armed {
+        if !self.is_armed {
             return;
         }
         let step = match self.verdict {
@@ -57,27 +61,31 @@
             Verdict::Fine | Verdict::Failed | Verdict::Error => Step::Ended,
         };
         self.journal.note(Event::new(step).request(self.id));
-        let done = Input::Done(self.handle, self.cost.units(), self.verdict);
-        // The reactor ends only together with this process.
+        let done = Input::Done(self.handle, self.meter.units(), self.verdict);
+        // Sending fails only at the end of this process.
         let _ = self.reactor.send(done);
     }
 }
 
-/// Counts the cost of one request.
+/// Meters the cost of one request while its answer is relayed.
 #[derive(Clone, Debug)]
 pub(crate) struct Meter {
+    /// Unit in which the service counts cost.
     cost: Cost,
     prompt: Prompt,
-    /// Tokens that one event holds.
+    /// Tokens that one event of the answer holds.
     event_tokens: u32,
     began: Instant,
+    /// Events of the answer so far.
     events: u32,
-    line: [u8; 5],
-    filled: usize,
+    /// First bytes of the current line, as many as `data:` has.
+    line_start: [u8; 5],
+    /// Number of bytes in `line_start`.
+    line_length: usize,
 }
 
 impl Meter {
-    /// Starts counting.
+    /// Starts metering a request that is dispatched now.
     pub(crate) fn new(cost: Cost, prompt: Prompt, engine: Option<Engine>) -> Self {
         Meter {
             cost,
@@ -85,12 +93,12 @@
             event_tokens: engine.map_or(1, |e| e.event_tokens),
             began: Instant::now(),
             events: 0,
-            line: [0; 5],
-            filled: 0,
+            line_start: [0; 5],
+            line_length: 0,
         }
     }
 
-    /// Units so far.
+    /// Cost so far, in units of the service.
     pub(crate) fn units(&self) -> u32 {
         match self.cost {
             Cost::Request => 1,
@@ -100,18 +108,19 @@
         }
     }
 
-    /// Counts lines that begin with `data:`, wherever pieces are split.
-    pub(crate) fn take(&mut self, bytes: &[u8]) {
+    /// Counts the events in a piece of the answer: the lines that begin with `data:`, wherever the
+    /// answer is split into pieces.
+    pub(crate) fn count_events(&mut self, bytes: &[u8]) {
         if !matches!(self.cost, Cost::Event | Cost::Token) {
             return;
         }
         for byte in bytes {
             if *byte == b'\n' {
-                self.filled = 0;
-            } else if self.filled < self.line.len() {
-                self.line[self.filled] = *byte;
-                self.filled += 1;
-                if self.filled == self.line.len() && self.line == *b"data:" {
+                self.line_length = 0;
+            } else if self.line_length < self.line_start.len() {
+                self.line_start[self.line_length] = *byte;
+                self.line_length += 1;
+                if self.line_length == self.line_start.len() && self.line_start == *b"data:" {
                     self.events += 1;
                 }
             }
@@ -119,135 +128,148 @@
     }
 }
 
-/// What is kept of an answer for a resend.
-pub(crate) struct Kept {
+/// Copy of an answer, to be stored for resends of its request.
+pub(crate) struct Replay {
+    /// Body so far; `None` once it is longer than [`MAX_REPLAY_BYTES`].
     pub(crate) body: Option<Vec<u8>>,
-    /// Told the body when the answer has ended whole.
+    /// Receives the body when the answer is complete.
     pub(crate) done: Option<oneshot::Sender<Option<Vec<u8>>>>,
 }
 
-/// The body that a caller reads.
+/// Body of the response that a caller reads, relayed from an endpoint.
 pub(crate) struct Relay {
-    pub(crate) inner: Incoming,
-    /// What an answer that has come whole says of the endpoint.
-    pub(crate) whole: Verdict,
+    /// Body of the endpoint's answer.
+    pub(crate) incoming: Incoming,
+    /// Verdict on the endpoint if the answer is complete.
+    pub(crate) verdict_if_complete: Verdict,
     pub(crate) slot: Slot,
     pub(crate) delivery: Delivery,
+    /// Ends when the time for the answer is over.
     pub(crate) deadline: Pin<Box<tokio::time::Sleep>>,
-    pub(crate) kept: Option<Kept>,
-    pub(crate) told: u32,
-    /// When the last piece was passed on, until the caller wants the next one.
-    pub(crate) passed: Option<Instant>,
-    /// When the caller last went on reading that had left a piece unread for long.
-    pub(crate) resumed: Option<Instant>,
+    /// Copy for resends, if the request claimed an idempotency key.
+    pub(crate) replay: Option<Replay>,
+    /// Cost that was last reported to the dispatcher.
+    pub(crate) reported_units: u32,
+    /// When the latest piece was handed to the caller's connection, until that asks for the next
+    /// one.
+    pub(crate) last_piece_at: Option<Instant>,
+    /// When the caller last resumed reading after a pause of [`SLOW_READ_PAUSE`].
+    pub(crate) resumed_at: Option<Instant>,
+    /// Whether the first piece has arrived.
     pub(crate) has_begun: bool,
-    /// How late tasks of this process run.
+    /// How late tasks of this process run: late tasks measure endpoints as too slow.
     pub(crate) lateness: Lateness,
-    /// The request's log line, with the status of the answer.
-    pub(crate) note: Option<(Note, StatusCode)>,
-    /// How the answer ended.
-    pub(crate) ended: &'static str,
-    pub(crate) way: Way,
+    /// Access log entry of the request, with the status of the answer.
+    pub(crate) entry: Option<(Entry, StatusCode)>,
+    /// How the answer ended, for the access log.
+    pub(crate) end_reason: &'static str,
+    pub(crate) origin: Origin,
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        if let Some((note, status)) = &mut self.note {
-            note.answered(*status, self.ended);
+        if let Some((entry, status)) = &mut self.entry {
+            entry.log_answer(*status, self.end_reason);
         }
     }
 }
 
-/// The connection that an answer comes over, and where it is kept afterwards.
-pub(crate) struct Way {
+/// The connection that an answer arrives on, and the pool that it returns to afterwards.
+pub(crate) struct Origin {
     pub(crate) connection: Option<Connection>,
     pub(crate) pool: Arc<Pool>,
     pub(crate) endpoint: Key,
-    /// Time for which the endpoint keeps the connection idle.
-    pub(crate) keep: Option<Duration>,
+    /// Time for which the endpoint announced that it keeps the connection open.
+    pub(crate) keep_alive: Option<Duration>,
 }
 
-/// Why an answer was cut.
+/// Why an answer was broken off before its end.
 #[derive(Debug)]
-pub(crate) enum Cut {
-    /// The endpoint broke off.
+pub(crate) enum Abort {
+    /// The connection to the endpoint failed.
     Endpoint(hyper::Error),
-    /// The time was up.
+    /// The time for the answer was over.
     Deadline,
 }
 
-impl std::fmt::Display for Cut {
+impl std::fmt::Display for Abort {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Cut::Endpoint(error) => write!(f, "the endpoint broke off: {error}"),
-            Cut::Deadline => f.write_str("the time for the answer was up"),
+            Abort::Endpoint(error) => write!(f, "the endpoint broke off its answer: {error}"),
+            Abort::Deadline => f.write_str("the answer was not complete before its deadline"),
         }
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for Abort {}
 
 impl Relay {
+    /// Meters, times and copies a piece of the answer.
     fn count(&mut self, bytes: &Bytes) {
         if !std::mem::replace(&mut self.has_begun, true) {
-            let took_ms = u32::try_from(self.slot.cost.began.elapsed().as_millis()).ok();
+            let took_ms = u32::try_from(self.slot.meter.began.elapsed().as_millis()).ok();
             let took_ms = took_ms.filter(|_| !self.lateness.is_late());
             let began = Input::Began(self.slot.handle, took_ms);
-            // The reactor ends only together with this process.
+            // Sending fails only at the end of this process.
             let _ = self.slot.reactor.send(began);
         }
-        self.slot.cost.take(bytes);
-        if let Some((note, _)) = &mut self.note {
-            note.piece(self.slot.cost.events);
+        self.slot.meter.count_events(bytes);
+        if let Some((entry, _)) = &mut self.entry {
+            entry.record_piece(self.slot.meter.events);
         }
-        let units = self.slot.cost.units();
-        // The dispatcher reports each doubling; it need not hear of every event.
-        if units >= self.told.saturating_mul(2).max(16) {
-            self.told = units;
+        let units = self.slot.meter.units();
+        // The dispatcher reports each doubling of the cost, so it is not notified of every event.
+        if units >= self.reported_units.saturating_mul(2).max(16) {
+            self.reported_units = units;
             let progress = Input::Progress(self.slot.handle, units);
             let _ = self.slot.reactor.send(progress);
         }
-        if let Some(kept) = &mut self.kept {
-            let fits = |body: &Vec<u8>| body.len() + bytes.len() <= KEEP_MAX;
-            match &mut kept.body {
+        if let Some(replay) = &mut self.replay {
+            let fits = |body: &Vec<u8>| body.len() + bytes.len() <= MAX_REPLAY_BYTES;
+            match &mut replay.body {
                 Some(body) if fits(body) => body.extend_from_slice(bytes),
                 body => *body = None,
             }
         }
     }
 
-    /// Ends at once if there is no body: nobody would poll it.
+    /// Completes the answer at once if it has no body, since an empty body is never polled.
     pub(crate) fn end_if_empty(&mut self) {
-        if self.inner.is_end_stream() {
+        if self.incoming.is_end_stream() {
             self.end();
         }
     }
 
+    /// Breaks the answer off once its deadline has passed.
     fn poll_deadline(
         &mut self,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Abort>>> {
         if self.deadline.as_mut().poll(context).is_pending() {
             return Poll::Pending;
         }
-        self.ended = "timeout";
-        Poll::Ready(Some(Err(Cut::Deadline)))
+        self.end_reason = "timeout";
+        Poll::Ready(Some(Err(Abort::Deadline)))
     }
 
+    /// Handles the end of a complete answer: the connection returns to the pool, and the copy for
+    /// resends is delivered.
     fn end(&mut self) {
-        self.slot.verdict = self.whole;
-        self.ended = "whole";
-        if self.whole == Verdict::Fine {
-            self.delivery.answered();
+        self.slot.verdict = self.verdict_if_complete;
+        self.end_reason = "whole";
+        if self.verdict_if_complete == Verdict::Fine {
+            self.delivery.report_success();
         }
-        if let Some(connection) = self.way.connection.take() {
-            let way = &self.way;
-            way.pool.put(&way.endpoint, connection, way.keep);
+        if let Some(connection) = self.origin.connection.take() {
+            let origin = &self.origin;
+            origin
+                .pool
+                .put(&origin.endpoint, connection, origin.keep_alive);
         }
-        if let Some(Kept {
+        if let Some(Replay {
             body,
             done: Some(done),
-        }) = self.kept.take()
+        }) = self.replay.take()
         {
             let _ = done.send(body);
         }
@@ -256,40 +278,43 @@
 
 impl Body for Relay {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = Abort;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
-        let passed = self.passed.take();
-        if passed.is_some_and(|at| at.elapsed() >= UNREAD) {
-            self.resumed = Some(Instant::now());
+    ) -> Poll<Option<Result<Frame<Bytes>, Abort>>> {
+        let last_piece_at = self.last_piece_at.take();
+        if last_piece_at.is_some_and(|at| at.elapsed() >= SLOW_READ_PAUSE) {
+            self.resumed_at = Some(Instant::now());
         }
-        match Pin::new(&mut self.inner).poll_frame(context) {
+        match Pin::new(&mut self.incoming).poll_frame(context) {
             Poll::Ready(Some(Ok(frame))) => {
                 if let Some(bytes) = frame.data_ref() {
                     let bytes = bytes.clone();
                     self.count(&bytes);
                 }
-                if self.inner.is_end_stream() {
+                if self.incoming.is_end_stream() {
                     self.end();
                 }
-                self.passed = Some(Instant::now());
+                self.last_piece_at = Some(Instant::now());
                 Poll::Ready(Some(Ok(frame)))
             }
-            // The error makes hyper close the connection without the end of the
-            // answer: what was cut must look cut.
+            // The error makes hyper close the connection without the end of the answer, so
+            // that the caller can see that the answer is incomplete.
             Poll::Ready(Some(Err(error))) => {
-                if self.resumed.is_some_and(|at| at.elapsed() < UNREAD) {
-                    // An endpoint cuts off an answer that is left unread.
-                    self.ended = "caller-slow";
+                if self
+                    .resumed_at
+                    .is_some_and(|at| at.elapsed() < SLOW_READ_PAUSE)
+                {
+                    // The endpoint broke off since its answer was not read for too long.
+                    self.end_reason = "caller-slow";
                 } else {
                     self.slot.verdict = Verdict::Failed;
-                    self.ended = BROKE_OFF;
-                    self.delivery.broke_off();
+                    self.end_reason = BROKE_OFF;
+                    self.delivery.report_break();
                 }
-                Poll::Ready(Some(Err(Cut::Endpoint(error))))
+                Poll::Ready(Some(Err(Abort::Endpoint(error))))
             }
             Poll::Ready(None) => {
                 self.end();
@@ -300,10 +325,10 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.inner.is_end_stream()
+        self.incoming.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.inner.size_hint()
+        self.incoming.size_hint()
     }
 }
--- a/components/node/src/frontend/serve.rs
+++ b/components/node/src/frontend/serve.rs
@@ -1,14 +1,15 @@
-//! A request's way: who asks, which rule decides, its turn, its answer.
+//! Serves a request from its arrival to its answer: admission, routing, queueing, tries at
+//! endpoints, and relaying of the answer.
 
-use super::admit::{admit, discard, read, BUSY, ELSEWHERE};
+use super::access_log::Entry;
+use super::admit::{admit, discard_body, read_body, BUSY_CODE, OTHER_ROUTER_RETRY_AFTER};
 use super::claim::{claim, Claim, Claimed};
 use super::delivery::{quarantined, Delivery};
 use super::listen::Frontend;
-use super::note::Note;
-use super::plan::{no_endpoint, plan, Plan, NO_ENDPOINT, NO_ENDPOINT_RETURN};
-use super::refusal::{insert, Refusal, OUTCOME};
-use super::relay::{Kept, Meter, Relay, Slot, Way};
-use super::upstream::{self, Answer, Call, Failed};
+use super::plan::{no_endpoint, plan, Plan, NO_ENDPOINT_RETRY_AFTER, NO_ENDPOINT_TEXT};
+use super::refusal::{set_header, Refusal, OUTCOME_HEADER};
+use super::relay::{Meter, Origin, Relay, Replay, Slot};
+use super::upstream::{self, Answer, Call, Failure};
 use crate::input::{Decided, Decision, Dispatch, Input};
 use crate::interface::IDENTITY;
 use crate::shared::Published;
@@ -28,61 +29,62 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// Endpoints that may fail to take the connection for a request before it counts as
-/// a failed try: each costs the time to connect, and after two of them the service
-/// is hardly there.
-const UNCONNECTED: u32 = 2;
+/// Failed connections per request that do not count as failed tries. Each costs up to the connect
+/// timeout, and after two of them most of the service's endpoints are likely to be unreachable.
+const MAX_UNCONNECTED_TRIES: u32 = 2;
 
-/// Why requests are refused that would be late.
-const OVERLOADED: &str = "the endpoints have more to do than they can in time";
+/// Text of a refusal because the request would be answered too late.
+const OVERLOADED_TEXT: &str =
+    "the endpoints are overloaded and could not answer this request in time";
 
-/// Time after which the caller may come back of whom too many wait here, at the least: as
-/// long as one of them waits for its turn where it is served at all.
-const QUEUE_RETURN: Duration = Duration::from_millis(200);
+/// Least Retry-After if too many requests of the caller are queued: about the time that a request
+/// waits in the queue.
+const QUEUE_FULL_RETRY_AFTER: Duration = Duration::from_millis(200);
 
+/// Response to a caller: a body of the router itself, or one relayed from an endpoint.
 type Reply = Response<Either<Full<Bytes>, Relay>>;
 
-/// When an answer that is passed on is to be over.
+/// Deadline of a relayed answer, as an extension of its response.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Until(pub(crate) Instant);
+pub(crate) struct AnswerDeadline(pub(crate) Instant);
 
-/// Serves one request. It never fails: an error is an answer too.
+/// Serves one request. This never fails, since a refusal is a response, too.
 pub(crate) async fn serve(
     frontend: Arc<Frontend>,
     request: Request<Incoming>,
 ) -> Result<Reply, std::convert::Infallible> {
     let id = RequestId {
         router: frontend.context.incarnation,
-        count: frontend.requests.fetch_add(1, Ordering::Relaxed),
+        count: frontend.next_request.fetch_add(1, Ordering::Relaxed),
     };
     let began = Instant::now();
     let published = frontend.context.published.borrow().clone();
     let now = frontend.context.clock.now();
     let metrics = frontend.context.metrics.clone();
-    let mut note = Note::new(id, began, now, &published, metrics);
-    let answered = answer(&frontend, &published, &mut note, request, began).await;
-    let is_busy = matches!(&answered, Err(refusal) if refusal.code == BUSY);
+    let mut entry = Entry::new(id, began, now, &published, metrics);
+    let answered = handle(&frontend, &published, &mut entry, request, began).await;
+    let is_busy = matches!(&answered, Err(refusal) if refusal.code == BUSY_CODE);
     let is_refused = answered.is_err();
     let reply = match answered {
         Ok(Served::Relayed(head, mut relay)) => {
-            relay.note = Some((note, head.status));
-            let until = Until(relay.deadline.deadline().into_std());
+            relay.entry = Some((entry, head.status));
+            let until = AnswerDeadline(relay.deadline.deadline().into_std());
             let mut reply = Response::from_parts(head, Either::Right(*relay));
             reply.extensions_mut().insert(until);
             reply
         }
         Ok(Served::Replayed(response)) => {
-            note.answered(response.status(), "replayed");
+            entry.log_answer(response.status(), "replayed");
             response.map(Either::Left)
         }
         Err(refusal) => {
-            count(&frontend, refusal.outcome, refusal.status);
-            if frontend.tells(&refusal) {
+            count_answer(&frontend, refusal.outcome, refusal.status);
+            if frontend.should_log(&refusal) {
                 let event = Event::new(Step::Refused).request(id);
                 frontend.context.journal.note(event);
-                note.refused(&refusal);
+                entry.log_refusal(&refusal);
             } else {
-                note.refused_untold(&refusal);
+                entry.count_refusal(&refusal);
             }
             (refusal.response(id, &frontend.context.interface)).map(Either::Left)
         }
@@ -92,17 +94,23 @@
         .metrics
         .duration
         .observe(began.elapsed().as_secs_f64());
-    Ok(last(&frontend, reply, is_busy, is_refused))
+    Ok(close_if_needed(&frontend, reply, is_busy, is_refused))
 }
 
-/// Makes an answer the last one of its connection, once this process is stopping, schedules
-/// for many routers or has few connections left, or if it refuses what another router may
-/// take: once new connections go there, or since this one runs late. What the caller sends
-/// next then costs least here, as a connection that is closed unread.
+/// Adds `Connection: close` to a response if the caller should send its next request elsewhere.
 ///
-/// Closed instead, a connection could cross a request that its caller has just
-/// sent on it: one would see the request fail that could have been served.
-fn last(frontend: &Frontend, mut reply: Reply, is_busy: bool, is_refused: bool) -> Reply {
+/// This is so while this process is stopping, is a dedicated scheduler or has few connections left,
+/// and for refusals while this router is overloaded or new connections go to other routers. A
+/// new connection that this router closes unread costs it less than a request.
+///
+/// Closing the connection without this header could race with a request that its caller has
+/// just sent on it, and fail a request that could have been served.
+fn close_if_needed(
+    frontend: &Frontend,
+    mut reply: Reply,
+    is_busy: bool,
+    is_refused: bool,
+) -> Reply {
     let is_scarce = frontend.context.budget.is_scarce(frontend.connections());
     let is_elsewhere = is_refused && frontend.context.lateness.is_passed_over();
     let published = frontend.context.published.borrow();
@@ -113,37 +121,38 @@
     reply
 }
 
-/// How a request was served.
+/// Successful results of serving a request.
 enum Served {
-    /// An endpoint answers.
+    /// An endpoint answers: the head of its answer, and the body to relay.
     Relayed(hyper::http::response::Parts, Box<Relay>),
-    /// An earlier answer to the same request is given again.
+    /// The stored answer to an earlier request with the same idempotency key.
     Replayed(Box<Response<Full<Bytes>>>),
 }
 
-async fn answer(
+/// Admits, routes and claims a request, and has it answered.
+async fn handle(
     frontend: &Arc<Frontend>,
     published: &Published,
-    note: &mut Note,
+    entry: &mut Entry,
     request: Request<Incoming>,
     began: Instant,
 ) -> Result<Served, Refusal> {
     let (head, body) = request.into_parts();
-    let asked = match admit(frontend, published, &head, note) {
+    let asked = match admit(frontend, published, &head, entry) {
         Ok(asked) => asked,
         Err(refusal) => {
-            discard(body, frontend.context.callers.body_max).await;
+            discard_body(body, frontend.context.callers.body_max).await;
             return Err(refusal);
         }
     };
-    let id = note.id();
+    let id = entry.id();
     frontend
         .context
         .journal
         .note(Event::new(Step::Taken).request(id));
-    let mut call = read(frontend, id, asked.identity.clone(), head, body).await?;
+    let mut call = read_body(frontend, id, asked.identity.clone(), head, body).await?;
     let plan = plan(frontend, published, &asked, &mut call)?;
-    note.plan(&plan, call.customer.clone());
+    entry.set_plan(&plan, call.customer.clone());
     let event = Event::new(Step::Taken).request(id);
     frontend.context.journal.note(event.customer(plan.customer));
     let key = call.headers.get("idempotency-key").cloned();
@@ -151,18 +160,19 @@
     if let Some(key) = key.filter(|_| !plan.idempotent) {
         let wait = plan.timeout.min(Duration::from_secs(10));
         match claim(frontend, &call, plan.customer, key.as_bytes(), wait).await? {
-            Claimed::Ours(claim) => claimed = Some(claim),
+            Claimed::New(claim) => claimed = Some(claim),
             Claimed::Earlier(response) => {
-                count(frontend, Outcome::Answered, response.status());
+                count_answer(frontend, Outcome::Answered, response.status());
                 return Ok(Served::Replayed(response));
             }
         }
     }
-    run(frontend, call, &plan, claimed, note, began).await
+    dispatch_until_answered(frontend, call, &plan, claimed, entry, began).await
 }
 
-/// A queued request; when dropped, it leaves the queue.
+/// A queued request. It leaves the queue when this value is dropped, since the caller is gone.
 struct Waiting {
+    /// The request in the dispatcher; `None` once it has left the queue.
     handle: Option<Handle>,
     id: RequestId,
     frontend: Arc<Frontend>,
@@ -178,67 +188,68 @@
     }
 }
 
-/// Waits for a turn, sends, and tries again where that is safe.
-async fn run(
+/// Queues a request, sends it to an endpoint, and retries where that is safe.
+async fn dispatch_until_answered(
     frontend: &Arc<Frontend>,
     call: Call,
     plan: &Plan,
     mut claim: Option<Claim>,
-    note: &mut Note,
+    entry: &mut Entry,
     began: Instant,
 ) -> Result<Served, Refusal> {
     frontend.check_quarantine(&call)?;
     frontend.earn_retries(plan.service);
-    let (handle, mut decided) = arrive(frontend, plan).await?;
+    let (handle, mut decided) = enqueue(frontend, plan).await?;
     let mut retries = 0;
-    let mut unconnected = 0;
+    let mut unconnected_tries = 0;
     loop {
         let waiting = Waiting {
             handle: Some(handle),
             id: call.id,
             frontend: frontend.clone(),
         };
-        let dispatch = turn(frontend, &call, waiting, decided, retries, plan.idempotent).await?;
-        note.dispatch(&dispatch, call.fingerprint());
-        note_dispatch(frontend, &call, plan, &dispatch, retries, began);
+        let dispatch =
+            wait_for_dispatch(frontend, &call, waiting, decided, retries, plan.idempotent).await?;
+        entry.log_dispatch(&dispatch, call.fingerprint());
+        record_dispatch(frontend, &call, plan, &dispatch, retries, began);
         let delivery = Delivery::new(frontend, &call, plan.customer);
         let mut slot = Slot {
             handle,
             id: call.id,
-            cost: Meter::new(plan.cost, plan.arrival.prompt, plan.engine),
+            meter: Meter::new(plan.cost, plan.arrival.prompt, plan.engine),
             verdict: Verdict::Gone,
-            armed: true,
+            is_armed: true,
             reactor: frontend.context.reactor.clone(),
             journal: frontend.context.journal.clone(),
         };
         if let Some(claim) = &mut claim {
-            claim.sending();
+            claim.mark_sent();
         }
-        let left = plan.timeout.saturating_sub(began.elapsed());
-        let way = upstream::Way {
+        let remaining = plan.timeout.saturating_sub(began.elapsed());
+        let options = upstream::Options {
             interface: &frontend.context.interface,
             pool: &frontend.pool,
-            once: !plan.idempotent,
-            left,
+            at_most_once: !plan.idempotent,
+            remaining,
         };
-        let sent = tokio::time::timeout(left, upstream::send(&call, &dispatch, way)).await;
+        let sent = tokio::time::timeout(remaining, upstream::send(&call, &dispatch, options)).await;
         let backoff = match &sent {
             Ok(Ok(answer)) => answer.backoff,
             Ok(Err(failed)) => failed.backoff,
             Err(_) => None,
         };
         if let Some(backoff) = backoff {
-            // Before the request is queued again: it must not come back there.
+            // Sent before the request is queued again, so that it does not return to this endpoint.
             let _ = frontend
                 .context
                 .reactor
                 .send(Input::Backoff(handle, backoff));
         }
         let failed = match sent {
-            Ok(Ok(answer)) => match frontend.failure(plan, retries, answer) {
+            Ok(Ok(answer)) => match frontend.retriable_failure(plan, retries, answer) {
                 Ok(answer) => {
                     let answering = (answer, delivery);
-                    return Ok(pass(
+                    return Ok(relay_answer(
                         frontend, answering, slot, claim, dispatch, plan, began,
                     ));
                 }
@@ -246,29 +257,30 @@
             },
             Ok(Err(failed)) => failed,
             Err(_) => {
-                // After a long wait for its turn the time was short; that is no
-                // fault of the endpoint's.
-                if left >= plan.timeout / 2 {
+                // The endpoint is blamed only if it had at least half of the time; the rest
+                // may have passed in the queue.
+                if remaining >= plan.timeout / 2 {
                     slot.verdict = Verdict::Failed;
                 }
                 let text = format!("{} did not answer in time", dispatch.name);
                 return Err(
-                    Refusal::unknown(StatusCode::GATEWAY_TIMEOUT, "timeout", text).after(1),
+                    Refusal::unknown(StatusCode::GATEWAY_TIMEOUT, "timeout", text)
+                        .with_retry_after_s(1),
                 );
             }
         };
         if failed.broke_off {
-            delivery.broke_off();
+            delivery.report_break();
         }
         if let (Some(claim), Reach::Nothing) = (&mut claim, failed.reach) {
-            claim.not_sent();
+            claim.mark_unsent();
         }
-        if failed.unconnected && unconnected < UNCONNECTED {
-            // Nothing was sent: it costs no endpoint anything.
-            note.failed(&failed, "elsewhere");
+        if failed.unconnected && unconnected_tries < MAX_UNCONNECTED_TRIES {
+            // Nothing was sent, so this costs no endpoint any work.
+            entry.log_failure(&failed, "elsewhere");
             slot.verdict = failed.verdict;
-            decided = again(frontend, slot).await?;
-            unconnected += 1;
+            decided = requeue(frontend, slot).await?;
+            unconnected_tries += 1;
             continue;
         }
         let attempt = Try {
@@ -280,17 +292,18 @@
         };
         let now = frontend.context.clock.now();
         let next = frontend.with_budget(plan.service, |budget| retry::after(attempt, now, budget));
-        note.failed(&failed, next.as_str());
+        entry.log_failure(&failed, next.as_str());
         slot.verdict = failed.verdict;
         if next != Next::Again {
             return Err(give_up(next, &dispatch, &failed));
         }
-        decided = again(frontend, slot).await?;
+        decided = requeue(frontend, slot).await?;
         retries += 1;
     }
 }
 
-fn note_dispatch(
+/// Records the dispatch in the journal, and the time in the queue in the metrics.
+fn record_dispatch(
     frontend: &Frontend,
     call: &Call,
     plan: &Plan,
@@ -313,9 +326,14 @@
 }
 
 impl Frontend {
-    /// Takes an endpoint's own failure for a failed try, where another endpoint
-    /// may do better; else it is the answer.
-    fn failure(&self, plan: &Plan, retries: u32, answer: Answer) -> Result<Answer, Failed> {
+    /// Turns an endpoint's answer with a server error into a failed try if the request may be
+    /// retried; otherwise returns the answer unchanged.
+    fn retriable_failure(
+        &self,
+        plan: &Plan,
+        retries: u32,
+        answer: Answer,
+    ) -> Result<Answer, Failure> {
         let status = answer.response.status();
         if !(status.is_server_error() && plan.idempotent && retries < plan.retries) {
             return Ok(answer);
@@ -323,7 +341,7 @@
         if !self.with_budget(plan.service, |budget| budget.has_any()) {
             return Ok(answer);
         }
-        Err(Failed {
+        Err(Failure {
             reach: Reach::Sent,
             verdict: Verdict::Error,
             unconnected: false,
@@ -338,38 +356,50 @@
     }
 }
 
-async fn arrive(frontend: &Frontend, plan: &Plan) -> Result<(Handle, Decided), Refusal> {
+/// Adds a request to the dispatcher's queue.
+///
+/// # Errors
+///
+/// The refusal, if the queue is full or the request could not be served in time.
+async fn enqueue(frontend: &Frontend, plan: &Plan) -> Result<(Handle, Decided), Refusal> {
     let (sender, receiver) = oneshot::channel();
     let arrive = Input::Arrive(plan.arrival, sender);
     if frontend.context.reactor.send(arrive).is_err() {
         return Err(no_endpoint());
     }
-    let busy = |code, text: &str| {
-        // Callers that are refused together must not come back together.
-        let after = QUEUE_RETURN * rand::random_range(1..=3);
-        Refusal::not_run(StatusCode::TOO_MANY_REQUESTS, code, text).after_time(after)
+    let queue_full = |code, text: &str| {
+        // Spreads the retries of callers that are refused at the same time.
+        let retry_after = QUEUE_FULL_RETRY_AFTER * rand::random_range(1..=3);
+        Refusal::not_run(StatusCode::TOO_MANY_REQUESTS, code, text).with_retry_after(retry_after)
     };
     match receiver.await {
         Ok(Ok(admitted)) => Ok(admitted),
         Ok(Err(QueueFull::Customer)) => {
             let text = format!(
-                "too many requests of this customer wait for {}",
+                "too many requests of this customer are queued for {}",
                 plan.service_name
             );
-            Err(busy("customer-queue-full", &text))
+            Err(queue_full("customer-queue-full", &text))
         }
-        Ok(Err(QueueFull::Router)) => Err(busy("router-queue-full", "too many requests wait here")),
+        Ok(Err(QueueFull::Router)) => Err(queue_full(
+            "router-queue-full",
+            "too many requests are queued in this router",
+        )),
         Ok(Err(QueueFull::Late { after_ms })) => {
             let spread = rand::random_range(750..=1250);
-            let after = Duration::from_millis(u64::from(after_ms) * spread / 1000);
-            Err(unserved("overloaded", OVERLOADED, 0, false).after_time(after))
+            let retry_after = Duration::from_millis(u64::from(after_ms) * spread / 1000);
+            Err(unserved("overloaded", OVERLOADED_TEXT, 0, false).with_retry_after(retry_after))
         }
         Ok(Err(QueueFull::NoEndpoint)) | Err(_) => Err(no_endpoint()),
     }
 }
 
-/// Waits until the request is to be sent, or has expired.
-async fn turn(
+/// Waits in the queue until the request is dispatched to an endpoint.
+///
+/// # Errors
+///
+/// The refusal, if the request is quarantined, refused or unserved, or has reached its deadline.
+async fn wait_for_dispatch(
     frontend: &Frontend,
     call: &Call,
     mut waiting: Waiting,
@@ -397,26 +427,26 @@
             Ok(dispatch)
         }
         Ok(Decision::Refused(refused)) => {
-            let after = Duration::from_millis(u64::from(refused.after_ms));
-            let mut refusal =
-                unserved("overloaded", OVERLOADED, retries, idempotent).after_time(after);
+            let retry_after = Duration::from_millis(u64::from(refused.after_ms));
+            let mut refusal = unserved("overloaded", OVERLOADED_TEXT, retries, idempotent)
+                .with_retry_after(retry_after);
             refusal.basis = Some(refused);
             Err(refusal)
         }
         Ok(Decision::Unserved) => {
-            let refusal = unserved("no-endpoint", NO_ENDPOINT, retries, idempotent);
-            Err(refusal.after_time(NO_ENDPOINT_RETURN))
+            let refusal = unserved("no-endpoint", NO_ENDPOINT_TEXT, retries, idempotent);
+            Err(refusal.with_retry_after(NO_ENDPOINT_RETRY_AFTER))
         }
         Ok(Decision::Expired) | Err(_) => {
             let text = "no endpoint was free before the deadline";
-            Err(unserved("deadline", text, retries, idempotent).after(1))
+            Err(unserved("deadline", text, retries, idempotent).with_retry_after_s(1))
         }
     }
 }
 
-/// A refusal of a request that had no turn, or none after a failed try.
+/// Refusal of a request that was not dispatched, or not again after a failed try.
 fn unserved(code: &'static str, text: &str, retries: u32, idempotent: bool) -> Refusal {
-    // An earlier try of an idempotent request may have been sent.
+    // An earlier try of an idempotent request may have run.
     if retries > 0 && idempotent {
         Refusal::unknown(StatusCode::BAD_GATEWAY, code, text)
     } else {
@@ -424,32 +454,35 @@
     }
 }
 
-/// Queues a request again.
-async fn again(frontend: &Frontend, slot: Slot) -> Result<Decided, Refusal> {
+/// Queues a request again after a failed try, and releases its slot.
+async fn requeue(frontend: &Frontend, slot: Slot) -> Result<Decided, Refusal> {
     let (sender, receiver) = oneshot::channel();
-    let again = Input::Again(slot.handle, slot.verdict, sender);
-    // The handle lives on: its slot is given back by `again`, not once more.
+    let requeue = Input::Again(slot.handle, slot.verdict, sender);
+    // The dispatcher releases the slot when it takes this input, so dropping `slot` must not.
     slot.disarm();
-    let _ = frontend.context.reactor.send(again);
+    let _ = frontend.context.reactor.send(requeue);
     receiver.await.map_err(|_| no_endpoint())
 }
 
-fn give_up(next: Next, dispatch: &Dispatch, failed: &Failed) -> Refusal {
+/// Refusal of a request that is not retried after a failed try.
+fn give_up(next: Next, dispatch: &Dispatch, failed: &Failure) -> Refusal {
     let status = StatusCode::BAD_GATEWAY;
     let text = format!("{}: {}", dispatch.name, failed.error);
     match next {
         Next::NotRun if failed.backoff.is_some() => {
-            // The next try goes to another endpoint.
-            let after = ELSEWHERE * rand::random_range(1..=3);
-            Refusal::not_run(status, "endpoint-backoff", text).after_time(after)
+            // The caller's retry goes to another endpoint.
+            let retry_after = OTHER_ROUTER_RETRY_AFTER * rand::random_range(1..=3);
+            Refusal::not_run(status, "endpoint-backoff", text).with_retry_after(retry_after)
+        }
+        Next::NotRun => {
+            Refusal::not_run(status, "endpoint-unreachable", text).with_retry_after_s(1)
         }
-        Next::NotRun => Refusal::not_run(status, "endpoint-unreachable", text).after(1),
         Next::Unknown | Next::Again => Refusal::unknown(status, "endpoint-failed", text),
     }
 }
 
-/// Passes an endpoint's answer on as it comes.
-fn pass(
+/// Starts to relay an endpoint's answer to the caller.
+fn relay_answer(
     frontend: &Frontend,
     (answer, delivery): (Answer, Delivery),
     slot: Slot,
@@ -459,51 +492,56 @@
     began: Instant,
 ) -> Served {
     let (mut head, body) = answer.response.into_parts();
-    let keep = upstream::keep_alive(&head.headers);
-    upstream::strip(&mut head.headers);
-    insert(&mut head.headers, OUTCOME, Outcome::Answered.as_str());
-    insert(&mut head.headers, IDENTITY, &slot.id.to_string());
-    count(frontend, Outcome::Answered, head.status);
-    let kept = claim.map(|claim| {
+    let keep_alive = upstream::keep_alive_timeout(&head.headers);
+    upstream::strip_hop_by_hop(&mut head.headers);
+    set_header(
+        &mut head.headers,
+        OUTCOME_HEADER,
+        Outcome::Answered.as_str(),
+    );
+    set_header(&mut head.headers, IDENTITY, &slot.id.to_string());
+    count_answer(frontend, Outcome::Answered, head.status);
+    let replay = claim.map(|claim| {
         let (done, ended) = oneshot::channel();
         let kind = head.headers.get(CONTENT_TYPE).and_then(|v| v.to_str().ok());
-        claim.answered(head.status.as_u16(), kind.unwrap_or("").to_owned(), ended);
-        Kept {
+        claim.settle_when_complete(head.status.as_u16(), kind.unwrap_or("").to_owned(), ended);
+        Replay {
             body: Some(Vec::new()),
             done: Some(done),
         }
     });
-    let left = plan.timeout.saturating_sub(began.elapsed());
+    let remaining = plan.timeout.saturating_sub(began.elapsed());
     let mut relay = Relay {
-        inner: body,
-        whole: if head.status.is_server_error() {
+        incoming: body,
+        verdict_if_complete: if head.status.is_server_error() {
             Verdict::Error
         } else {
             Verdict::Fine
         },
         slot,
         delivery,
-        deadline: Box::pin(tokio::time::sleep(left)),
-        kept,
-        told: 0,
-        passed: None,
-        resumed: None,
+        deadline: Box::pin(tokio::time::sleep(remaining)),
+        replay,
+        reported_units: 0,
+        last_piece_at: None,
+        resumed_at: None,
         has_begun: false,
         lateness: frontend.context.lateness.clone(),
-        note: None,
-        ended: "caller-gone",
-        way: Way {
+        entry: None,
+        end_reason: "caller-gone",
+        origin: Origin {
             connection: Some(answer.connection),
             pool: frontend.pool.clone(),
             endpoint: (dispatch.endpoint, dispatch.address),
-            keep,
+            keep_alive,
         },
     };
     relay.end_if_empty();
     Served::Relayed(head, Box::new(relay))
 }
 
-fn count(frontend: &Frontend, outcome: Outcome, status: StatusCode) {
+/// Counts a response by outcome and status in the metrics.
+fn count_answer(frontend: &Frontend, outcome: Outcome, status: StatusCode) {
     let labels = [outcome.as_str(), status.as_str()];
     frontend
         .context
--- a/components/node/src/frontend/upstream.rs
+++ b/components/node/src/frontend/upstream.rs
@@ -1,11 +1,10 @@
-//! One try of one request on one endpoint.
+//! Client side of the frontend: one try of one request at one endpoint.
 //!
-//! An answer belongs to a request by the identity that it bears, not by the
-//! connection that it comes over: a kept connection may bring a late second
-//! answer to an earlier request.
+//! An answer is matched to its request by the identity in its head, not only by the connection:
+//! on a reused connection, a late second answer to an earlier request can arrive.
 
 use super::pool::{self, Connection, Pool};
-use super::refusal::insert;
+use super::refusal::set_header;
 use crate::input::Dispatch;
 use crate::interface::{Answered, Interface, Onward};
 use bytes::Bytes;
@@ -25,8 +24,8 @@
 use std::time::Duration;
 use tokio::sync::OwnedSemaphorePermit;
 
-/// Headers that belong to one connection and are not passed on.
-const HOP: [HeaderName; 6] = [
+/// Hop-by-hop headers, which belong to one connection and are not forwarded.
+const HOP_BY_HOP_HEADERS: [HeaderName; 6] = [
     CONNECTION,
     TRANSFER_ENCODING,
     hyper::header::TE,
@@ -35,42 +34,43 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// A request as it is sent on, as often as it may be.
+/// A request of a caller with its whole body, which can be sent to several endpoints in turn.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) id: RequestId,
-    /// Identity that its caller gave it.
+    /// Identity that the caller gave the request.
     pub(crate) identity: Option<HeaderValue>,
-    /// Customer whose key it bore.
+    /// Customer whose key the request has.
     pub(crate) customer: Option<Name>,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// The body's part of the memory for bodies.
+    /// Permits for the body's part of the memory for bodies, held until the call is dropped.
     pub(crate) _memory: Option<OwnedSemaphorePermit>,
-    /// Its fingerprint, once it was asked for.
+    /// Fingerprint, computed when it is first needed.
     pub(crate) fingerprint: OnceLock<Fingerprint>,
 }
 
 /// A failed try.
 #[derive(Debug)]
-pub(crate) struct Failed {
+pub(crate) struct Failure {
+    /// How far the request may have got.
     pub(crate) reach: Reach,
-    /// What it says of the endpoint.
+    /// What the failure says of the endpoint's health.
     pub(crate) verdict: Verdict,
-    /// Whether there was no connection to send it on.
+    /// Whether no connection to the endpoint could be opened.
     pub(crate) unconnected: bool,
-    /// Whether the endpoint broke off a request that may have been running.
+    /// Whether the endpoint closed the connection while the request may have been running.
     pub(crate) broke_off: bool,
-    /// What the endpoint says of itself.
+    /// Backoff that the endpoint asks for.
     pub(crate) backoff: Option<Backoff>,
     pub(crate) error: Box<Error>,
 }
 
-impl Failed {
+impl Failure {
     fn new(reach: Reach, error: Error) -> Self {
-        Failed {
+        Failure {
             reach,
             verdict: Verdict::Failed,
             unconnected: false,
@@ -81,82 +81,93 @@
     }
 }
 
-/// The head of an answer, with the connection that its body comes over.
+/// Head of an answer, with the connection that its body arrives on.
 pub(crate) struct Answer {
     pub(crate) response: Response<Incoming>,
     pub(crate) connection: Connection,
-    /// What the endpoint says of itself.
+    /// Backoff that the endpoint asks for.
     pub(crate) backoff: Option<Backoff>,
 }
 
-/// How a call is sent.
-pub(crate) struct Way<'a> {
+/// Options of sending a call.
+pub(crate) struct Options<'a> {
     pub(crate) interface: &'a Interface,
     pub(crate) pool: &'a Pool,
     /// Whether the request must not run twice.
-    pub(crate) once: bool,
-    /// Time that is left.
-    pub(crate) left: Duration,
+    pub(crate) at_most_once: bool,
+    /// Time until the request's deadline.
+    pub(crate) remaining: Duration,
 }
 
-/// Sends a call to an endpoint; gives the head of its answer.
-pub(crate) async fn send(call: &Call, to: &Dispatch, way: Way<'_>) -> Result<Answer, Failed> {
-    let nothing = |error| Failed::new(Reach::Nothing, error);
+/// Sends a call to an endpoint and returns the head of its answer.
+///
+/// # Errors
+///
+/// [`Failure`], if there is no connection or no valid answer.
+pub(crate) async fn send(
+    call: &Call,
+    to: &Dispatch,
+    options: Options<'_>,
+) -> Result<Answer, Failure> {
+    let unsent_failure = |error| Failure::new(Reach::Nothing, error);
     let began = std::time::Instant::now();
     let key = (to.endpoint, to.address);
-    let mut kept = way.pool.take(&key, way.once);
+    let mut pooled = options.pool.take(&key, options.at_most_once);
     loop {
-        let reused = kept.is_some();
-        let mut connection = match kept.take() {
+        let reused = pooled.is_some();
+        let mut connection = match pooled.take() {
             Some(connection) => connection,
-            None => pool::connect(to.address).await.map_err(unconnected)?,
+            None => pool::connect(to.address).await.map_err(no_connection)?,
         };
-        let left = way.left.saturating_sub(began.elapsed());
-        let request = call.request(to, way.interface, left).map_err(nothing)?;
+        let remaining = options.remaining.saturating_sub(began.elapsed());
+        let request = call
+            .request(to, options.interface, remaining)
+            .map_err(unsent_failure)?;
         match connection.sender.try_send_request(request).await {
-            Ok(response) => return check(call, to, way.interface, response, connection),
+            Ok(response) => return check_answer(call, to, options.interface, response, connection),
             Err(mut error) => {
                 let unsent = error.take_message().is_some();
-                // The endpoint had closed the kept connection: nothing was sent.
+                // The endpoint had closed the pooled connection before anything was sent.
                 if unsent && reused {
-                    kept = way.pool.take(&key, way.once);
+                    pooled = options.pool.take(&key, options.at_most_once);
                     continue;
                 }
                 let reach = if unsent { Reach::Nothing } else { Reach::Sent };
                 let error = Error::peer("send to an endpoint", to.address)(error.into_error());
-                return Err(Failed {
+                return Err(Failure {
                     broke_off: reach == Reach::Sent,
-                    ..Failed::new(reach, error)
+                    ..Failure::new(reach, error)
                 });
             }
         }
     }
 }
 
-/// A try for which there was no connection.
+/// The failure of a try for which no connection could be opened.
 ///
-/// A router that is out of descriptors would else tell the scheduler of sound endpoints
-/// that they have failed, and have them ejected for all routers.
-fn unconnected(error: Error) -> Failed {
+/// An error of this process, such as no free file descriptor, says nothing of the endpoint: a
+/// router without descriptors would otherwise report healthy endpoints as failed to their
+/// scheduler, and have them ejected for all routers.
+fn no_connection(error: Error) -> Failure {
     let verdict = match error {
         Error::Peer { .. } => Verdict::Failed,
         _ => Verdict::Gone,
     };
-    Failed {
+    Failure {
         unconnected: true,
         verdict,
-        ..Failed::new(Reach::Nothing, error)
+        ..Failure::new(Reach::Nothing, error)
     }
 }
 
-/// Checks that an answer is one to this call.
-fn check(
+/// Checks that an answer is the endpoint's own answer to this call.
+fn check_answer(
     call: &Call,
     to: &Dispatch,
     interface: &Interface,
     response: Response<Incoming>,
     connection: Connection,
-) -> Result<Answer, Failed> {
+) -> Result<Answer, Failure> {
     let (head, body) = response.into_parts();
     let Answered {
         identity,
@@ -167,41 +178,41 @@
     } = (interface.answer)(&head);
     let rest = rest.map(|time| Backoff::resting(to.endpoint, time));
     let backoff = is_leaving.then(|| Backoff::leaving(to.endpoint)).or(rest);
-    let wrong = |reason: &str| Error::Peer {
+    let bad_answer = |reason: &str| Error::Peer {
         step: "read an answer",
         peer: to.address.to_string(),
         reason: reason.to_owned(),
     };
-    let own = call.id.to_string();
+    let own_id = call.id.to_string();
     let expected = call
         .identity
         .as_ref()
-        .map_or(own.as_bytes(), |i| i.as_bytes());
+        .map_or(own_id.as_bytes(), |i| i.as_bytes());
     if identity.is_some_and(|i| i.as_bytes() != expected) {
-        // An endpoint that mixes up its answers would give this caller someone
-        // else's; the identity that it returns shows it.
-        let error = wrong("it bears the identity of another request");
-        return Err(Failed {
+        // An endpoint that mixes up its answers would otherwise deliver another caller's answer
+        // to this one.
+        let error = bad_answer("the answer has the identity of another request");
+        return Err(Failure {
             backoff,
-            ..Failed::new(Reach::Sent, error)
+            ..Failure::new(Reach::Sent, error)
         });
     }
     if not_run {
-        return Err(Failed {
-            // One that says that it is full is not broken.
+        return Err(Failure {
+            // An endpoint that refuses requests because it is full is healthy.
             verdict: Verdict::Gone,
             backoff,
-            ..Failed::new(
+            ..Failure::new(
                 Reach::Nothing,
-                wrong("the endpoint did not run the request"),
+                bad_answer("the endpoint did not run the request"),
             )
         });
     }
     if !is_sound {
-        let error = wrong("it is not an endpoint's own answer");
-        return Err(Failed {
+        let error = bad_answer("the answer does not come from the endpoint itself");
+        return Err(Failure {
             backoff,
-            ..Failed::new(Reach::Sent, error)
+            ..Failure::new(Reach::Sent, error)
         });
     }
     Ok(Answer {
@@ -212,7 +223,7 @@
 }
 
 impl Call {
-    /// What makes it the same request as another one.
+    /// Fingerprint by which resends of the same request are recognised.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let host = self.headers.get(HOST).and_then(|v| v.to_str().ok());
@@ -227,12 +238,13 @@
         })
     }
 
-    /// Builds the onward request anew: nothing of the caller's framing is kept.
+    /// Builds the request to the endpoint; its framing headers are made anew, not copied from the
+    /// caller's request.
     fn request(
         &self,
         to: &Dispatch,
         interface: &Interface,
-        left: Duration,
+        remaining: Duration,
     ) -> Result<Request<Full<Bytes>>> {
         let path = self.uri.path_and_query().map_or("/", |p| p.as_str());
         let mut request = Request::builder()
@@ -244,41 +256,42 @@
         for (name, value) in &self.headers {
             headers.append(name.clone(), value.clone());
         }
-        strip(headers);
+        strip_hop_by_hop(headers);
         headers.remove(CONTENT_LENGTH);
         headers.remove(EXPECT);
         let onward = Onward {
             identity: &self.id.to_string(),
             endpoint: &to.name,
             customer: self.customer.as_ref(),
-            left,
+            left: remaining,
             copy_from: to.copy_from,
         };
         (interface.pass_on)(headers, &onward);
         if !headers.contains_key(HOST) {
-            insert(headers, "host", &to.address.to_string());
+            set_header(headers, "host", &to.address.to_string());
         }
         Ok(request)
     }
 }
 
-/// Removes headers that belong to one connection.
-pub(crate) fn strip(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = (headers.get_all(CONNECTION).iter())
+/// Removes hop-by-hop headers, including those that `Connection` lists.
+pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
+    let listed: Vec<HeaderName> = (headers.get_all(CONNECTION).iter())
         .filter_map(|v| v.to_str().ok())
         .flat_map(|v| v.split(','))
         .filter_map(|n| HeaderName::try_from(n.trim()).ok())
         .collect();
-    for name in named.iter().chain(&HOP) {
+    for name in listed.iter().chain(&HOP_BY_HOP_HEADERS) {
         headers.remove(name);
     }
 }
 
-/// Time for which an endpoint says that it keeps the connection idle.
-pub(crate) fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
+/// Time for which an endpoint announces, by `Keep-Alive: timeout=`, that it keeps an idle
+/// connection open.
+pub(crate) fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
-    let told = text
+    let timeout = text
         .split(',')
         .find_map(|p| p.trim().strip_prefix("timeout="))?;
-    told.trim().parse().ok().map(Duration::from_secs)
+    timeout.trim().parse().ok().map(Duration::from_secs)
 }
