--- a/components/protocol/src/codec.rs
+++ b/components/protocol/src/codec.rs
@@ -1,4 +1,4 @@
-//! Encoding of frames.
+//! Encoding of frames on links, and of values that are stored.
 
 use crate::wire::Frame;
 use coordination::agree::BATCH;
@@ -7,24 +7,24 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// Version of the protocol; another one is refused.
+/// Version of the protocol. Frames of any other version are refused.
 pub const PROTOCOL_VERSION: u8 = 1;
-/// Bytes before the body: the version and the length.
+/// Length of a frame's header: one byte for the version, four for the length of the body.
 pub const HEADER_BYTES: usize = 5;
-/// Longest body in bytes. A whole view of the design size is a tenth of it.
+/// Longest body of a frame. A full view of a fleet of the design size takes a tenth of this.
 pub const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
-/// Bytes of a record of the log that no operator chose the size of, at most: a stored
-/// answer, 16 KiB of body, is the largest.
-const SMALL_MAX: usize = 20 * 1024;
-/// Largest record of the log in bytes, so that a message carries one with as many small
-/// ones as go into a batch.
-pub const MAX_RECORD_BYTES: usize = MAX_BODY_BYTES - BATCH * SMALL_MAX;
+/// Longest record of the log whose size does not depend on an operator's input. The largest is a
+/// stored answer, with a body of up to 16 KiB.
+const MAX_SMALL_RECORD_BYTES: usize = 20 * 1024;
+/// Longest record of the log. One record of this size and a batch of small records fit in one
+/// message.
+pub const MAX_RECORD_BYTES: usize = MAX_BODY_BYTES - BATCH * MAX_SMALL_RECORD_BYTES;
 
-/// Whether a value can be a record of the log, or the query that asks for one.
+/// Whether a record of the log, or the query that leads to it, is within [`MAX_RECORD_BYTES`].
 ///
-/// One that is larger could not be sent to the other control VMs. A leader that wrote it
-/// to its log would accept nothing more.
+/// A longer record could not be replicated to the other control VMs. A leader with such a record in
+/// its log could not commit anything more.
 pub fn fits_record<T>(value: &T) -> bool
 where
     T: Serialize,
@@ -33,7 +33,7 @@
     length.is_ok_and(|length| length <= MAX_RECORD_BYTES)
 }
 
-/// Encodes a frame with its head.
+/// Encodes a frame with its header.
 ///
 /// # Errors
 ///
@@ -52,11 +52,11 @@
     Ok(bytes)
 }
 
-/// Length of the body that a head announces.
+/// Length of the body that a frame's header announces.
 ///
 /// # Errors
 ///
-/// When the version is another or the body too long.
+/// When the version is not [`PROTOCOL_VERSION`], or the body is longer than [`MAX_BODY_BYTES`].
 pub fn body_length(peer: &str, head: [u8; HEADER_BYTES]) -> Result<usize> {
     let [version, a, b, c, d] = head;
     if version != PROTOCOL_VERSION {
@@ -64,7 +64,7 @@
             step: "read a frame",
             peer: peer.to_owned(),
             reason: format!(
-                "it speaks version {version} of the protocol, we speak {PROTOCOL_VERSION}"
+                "the peer uses protocol version {version}, this process uses version {PROTOCOL_VERSION}"
             ),
         });
     }
@@ -80,16 +80,16 @@
 ///
 /// # Errors
 ///
-/// When the bytes are no frame.
+/// When the bytes are not a frame.
 pub fn decode_frame(peer: &str, body: &[u8]) -> Result<Frame> {
     postcard::from_bytes(body).map_err(Error::peer("decode a frame", peer))
 }
 
-/// Encodes a value that is stored.
+/// Encodes a value to be stored.
 ///
 /// # Errors
 ///
-/// When it cannot be encoded.
+/// When the value cannot be encoded.
 pub fn encode_value<T>(value: &T) -> Result<Vec<u8>>
 where
     T: Serialize,
@@ -101,7 +101,7 @@
 ///
 /// # Errors
 ///
-/// When the bytes are something else.
+/// When the bytes are not an encoded `T`.
 pub fn decode_value<T>(bytes: &[u8]) -> Result<T>
 where
     T: DeserializeOwned,
@@ -109,10 +109,11 @@
     postcard::from_bytes(bytes).map_err(Error::peer("decode a value", "(this process)"))
 }
 
+/// Error for a body longer than [`MAX_BODY_BYTES`].
 fn too_long(peer: &str, length: usize) -> Error {
     Error::Peer {
         step: "check a frame's length",
         peer: peer.to_owned(),
-        reason: format!("{length} bytes, {MAX_BODY_BYTES} are allowed"),
+        reason: format!("the frame has {length} bytes, more than the allowed {MAX_BODY_BYTES}"),
     }
 }
--- a/components/protocol/src/lib.rs
+++ b/components/protocol/src/lib.rs
@@ -1,7 +1,7 @@
 //! Typed messages between processes and their encoding.
 //!
-//! A message is encoded by postcard behind one byte for the version of the
-//! protocol and four for the length.
+//! On the wire, a header of one byte for the protocol version and four bytes for the length
+//! precedes each message, which is encoded by postcard.
 
 pub mod codec;
 pub mod wire;
--- a/components/protocol/src/wire.rs
+++ b/components/protocol/src/wire.rs
@@ -1,4 +1,6 @@
-//! The messages.
+//! The messages that processes exchange over links.
+//!
+//! Messages are encoded by position, so the order of fields and variants is part of the protocol.
 
 use coordination::agree::Envelope;
 use coordination::ask::{Grant, Kept, Refusal, Report, Served};
@@ -17,199 +19,202 @@
 use state::view::{Place, Shard, Step, View};
 use std::net::SocketAddr;
 
-/// Who opens a link.
+/// First message on a link, in both directions: who the sender is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Hello {
-    /// Name and address of its links.
+    /// Name of the sender's VM, and the address that the sender accepts links on.
     pub place: Place,
-    /// Its incarnation: a new number for each start of the process.
+    /// Incarnation of the sender: a new number for each start of its process.
     pub incarnation: u64,
-    /// Where its operators' address listens.
+    /// Address that the sender listens on for operators.
     #[serde(rename = "operators")]
     pub operator_address: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the sender.
     pub data_centre: Name,
 }
 
-/// What a process asks of the control VMs.
+/// Request to the control VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Query {
-    /// Which version is in force?
+    /// Asks which version is in force.
     #[serde(rename = "head")]
     CurrentVersion,
-    /// Claim an idempotency key.
+    /// Claims an idempotency key.
     Claim {
         /// Hash of customer and key.
         key: Hash,
-        /// Customer.
+        /// Customer that the key belongs to.
         customer: CustomerId,
-        /// Hash of method, path and body.
+        /// Hash of the request's method, path and body, by which another request with the same
+        /// key is refused.
         fingerprint: Hash,
-        /// Request that claims.
+        /// Request that claims the key.
         request: RequestId,
     },
-    /// An operator's change: a whole configuration file.
+    /// An operator's change of the configuration, as a complete configuration file.
     Change {
-        /// Identity for resends.
+        /// Identity of the change, by which resends are recognised.
         id: ChangeId,
-        /// Version that it is based on.
+        /// Version that the change is based on.
         base: Version,
-        /// The file.
+        /// Content of the file.
         text: String,
     },
-    /// An operator's complete configuration.
+    /// An operator's release: a complete configuration with the operator's own number.
     Release(Box<Release>),
-    /// An operator's planned stop, or its end.
+    /// Drains an endpoint or a VM before a planned stop, or ends the drain of an endpoint.
     #[serde(rename = "depart")]
     Drain(Drain),
-    /// Report what was seen of requests that may crash endpoints.
+    /// Reports evidence on requests that may crash endpoints.
     #[serde(rename = "suspects")]
     Evidence(Evidence),
-    /// Report what became of a claimed request.
+    /// Reports the outcome of a request that claimed an idempotency key.
     Settle {
         /// Hash of customer and key.
         key: Hash,
-        /// Request that claimed.
+        /// Request that claimed the key.
         request: RequestId,
-        /// What is known; `None` when it was not run.
+        /// What is known of the outcome; `None` if the request was not run, which frees the key.
         known: Option<Known>,
     },
-    /// An operator's order to evacuate a data centre, or to end that.
+    /// An operator's order to evacuate a data centre, or to end its evacuation.
     Evacuation(Order),
 }
 
-/// Who leaves, by name.
+/// What is drained, by name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Drain {
-    /// An endpoint gets no new work.
+    /// This endpoint gets no new requests.
     Endpoint(Name),
-    /// An endpoint is back.
+    /// This endpoint gets requests again.
     EndpointBack(Name),
-    /// A VM in this incarnation drains and ends.
+    /// The process on this VM, in this incarnation, drains and stops.
     Vm(Name, u64),
 }
 
-/// What the control VMs answer.
+/// Answer of a control VM to a [`Query`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
     /// The version in force.
     #[serde(rename = "head")]
     CurrentVersion(Version),
-    /// The answer of the state machine.
+    /// Answer of the replicated state machine.
     Answer(Answer),
-    /// This VM does not lead; perhaps that one does.
+    /// This control VM is not the leader; the given one may be.
     NotLeader(Option<Place>),
-    /// The query is wrong; nothing was changed.
+    /// The query is invalid, for this reason; nothing was changed.
     Invalid(String),
 }
 
-/// One message.
+/// A message between two processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Message {
-    /// First on each link.
+    /// Introduces the sender; the first message on each link, in both directions.
     Hello(Hello),
-    /// Between control VMs.
+    /// Between control VMs: a message of the consensus protocol.
     #[serde(rename = "agree")]
     Consensus(Envelope),
-    /// A process that can schedule lives.
+    /// To the control VMs: the sender is alive and can be a scheduler.
     #[serde(rename = "beat")]
     Heartbeat {
-        /// Its region.
+        /// Region of the sender.
         region: Name,
-        /// Its data centre.
+        /// Data centre of the sender.
         data_centre: Name,
-        /// Its incarnation.
+        /// Incarnation of the sender.
         incarnation: u64,
     },
-    /// To a control VM.
+    /// To a control VM: a query, with the sender's number for it.
     Query(u64, Query),
-    /// From a control VM.
+    /// From a control VM: the reply to the query with this number.
     Reply(u64, Reply),
-    /// Dissemination: feed me, I have this version.
+    /// Dissemination: the sender, which has this version, asks for all newer ones from now on.
     Subscribe(Version),
-    /// Dissemination: another node feeds me, forget me.
+    /// Dissemination: the sender now receives versions from another process.
     Unsubscribe,
-    /// Ask this node instead.
+    /// Dissemination: subscribe to this process instead.
     #[serde(rename = "elsewhere")]
     Redirect(Place),
-    /// The version in force, as a root of the tree has just seen it confirmed.
+    /// Dissemination: a root of the tree has just confirmed that this version is in force.
     #[serde(rename = "pulse")]
     VersionProof(Version),
-    /// The next versions.
+    /// Dissemination: the next versions, each as its changes to the one before.
     #[serde(rename = "steps")]
     Updates(SmallVec<[Step; 1]>),
-    /// The whole view, for one that missed steps.
+    /// Dissemination: the full view, for a process that has missed versions.
     #[serde(rename = "whole")]
     FullView(Box<View>),
-    /// What a subtree has in force.
+    /// Dissemination: which versions the processes of a subtree have in force.
     Confirm(Confirm),
-    /// What a subtree has seen of requests that may crash endpoints.
+    /// Dissemination: evidence of a subtree on requests that may crash endpoints.
     Evidence(Evidence),
-    /// From a router to a scheduler.
+    /// From a router to the scheduler of this epoch: reports on its requests.
     Reports(Epoch, SmallVec<[Report; 2]>),
-    /// From a scheduler to a router.
+    /// From a scheduler to a router: grants of endpoint slots.
     Grants(SmallVec<[Grant; 2]>),
-    /// From a scheduler to a router.
+    /// From a scheduler to a router: requests that would be answered too late.
     Refusals(SmallVec<[Refusal; 2]>),
-    /// From a scheduler to those of the same service in other regions: service
-    /// that it has given in its epoch.
+    /// From a scheduler to the schedulers of the same service in other regions: the service that
+    /// customers have received from the sender in its epoch.
     Served(Served),
-    /// From a scheduler to those of the same service in its region: parts of prompts that its
-    /// engines have read.
+    /// From a scheduler to the schedulers of the same service in its region: parts of prompts that
+    /// its engines have cached.
     #[serde(rename = "kept")]
     CachedPrompts(Vec<Kept>),
-    /// This VM does not schedule in that epoch, or not yet.
+    /// The sender is not the scheduler of this epoch, or not yet.
     Unassigned(Epoch),
-    /// The platform's endpoints, as they are since the last reading.
+    /// All endpoints that the platform listed last.
     Listing(Box<Listing>),
     /// The platform's endpoints are still those of the listing with this number.
     #[serde(rename = "listing-kept")]
     ListingUnchanged(u64),
-    /// Send the listing: its number is not known here.
+    /// Asks for the listing, since the sender does not have the one with the number that it
+    /// received.
     #[serde(rename = "listing-wanted")]
     ListingRequest,
-    /// How many endpoints there are, in place of a list that is too long for all processes.
+    /// Numbers of endpoints, in place of a listing that is too long to send to all processes.
     Census(Box<Census>),
-    /// From a scheduler to a control VM: which endpoints has this shard? The number is that
-    /// of the listing that it has.
+    /// From a scheduler to a control VM: asks for the endpoints of a shard. The number is that of
+    /// the listing that the scheduler has.
     #[serde(rename = "cell-wanted")]
     CellRequest(Shard, u64),
-    /// From a control VM to a scheduler: the endpoints of its shard, as it asked.
+    /// From a control VM to a scheduler: the endpoints of a shard, as requested.
     Cell(Shard, Box<cell::Answer>),
-    /// From a scheduler to a router: endpoints that grants behind this name.
+    /// From a scheduler to a router: names and addresses of endpoints that the grants sent after
+    /// this message refer to.
     #[serde(rename = "introductions")]
     EndpointDetails(Vec<(EndpointId, Endpoint)>),
-    /// Between control VMs: routers that the sender feeds, directly or not.
+    /// Between control VMs: number of routers in the sender's subtree of the dissemination.
     #[serde(rename = "subtree")]
     SubtreeSize(u32),
-    /// Routers of the fleet, as a root of the tree counts them.
+    /// Number of routers in the fleet, as a root of the dissemination counts them.
     #[serde(rename = "size")]
     FleetSize(u32),
-    /// How old is your proof of the newest version? With the sender's own time.
+    /// Asks how old the receiver's proof of the newest version is. Carries the sender's time.
     #[serde(rename = "check")]
     ProofRequest(u64),
-    /// What has changed since the platform's endpoints were last told.
+    /// Changes of the platform's endpoints since the listing that was sent last.
     ListingChange(Box<Change>),
-    /// The answer to a check.
+    /// Answer to a [`Message::ProofRequest`].
     #[serde(rename = "checked")]
     ProofAge {
-        /// Time that the check bore.
+        /// Time that the request carried.
         sent: u64,
-        /// Age of the proof when the check was answered, in milliseconds.
+        /// Age of the proof when the answer was sent, in milliseconds.
         age_ms: u64,
-        /// The newest version that it proves.
+        /// Version that the proof shows to be the newest.
         #[serde(rename = "head")]
         version: Version,
     },
 }
 
 impl Message {
-    /// Name of its kind, for counters.
+    /// Name of the message's kind, for counters.
     pub fn kind(&self) -> &'static str {
         match self {
             Message::Hello(_) => "hello",
@@ -247,11 +252,11 @@
     }
 }
 
-/// A message with the sender's hybrid logical time.
+/// A message with the time at which it was sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Frame {
-    /// Sender's time.
+    /// Sender's hybrid logical time.
     pub stamp: Stamp,
     /// The message.
     pub message: Message,
--- a/components/protocol/tests/codec.rs
+++ b/components/protocol/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Encoding of frames.
+//! Tests of the encoding of frames and stored values.
 
 use protocol::codec::{
     body_length, decode_frame, decode_value, encode_frame, encode_value, HEADER_BYTES,
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn can_decode_what_was_encoded() {
+fn can_decode_an_encoded_frame() {
     let bytes = encode_frame(&frame()).unwrap();
     let head = <[u8; HEADER_BYTES]>::try_from(&bytes[..HEADER_BYTES]).unwrap();
     assert_eq!(
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn can_refuse_cut_and_flipped_bytes_without_a_panic() {
+fn can_reject_truncated_frames_and_flipped_bits_without_a_panic() {
     let bytes = encode_frame(&frame()).unwrap();
     for cut in HEADER_BYTES..bytes.len() {
         assert!(decode_frame("peer", &bytes[HEADER_BYTES..cut]).is_err());
@@ -53,13 +53,16 @@
         for bit in 0..8 {
             let mut changed = bytes.clone();
             changed[at] ^= 1 << bit;
-            // It may decode to another frame; QUIC's own checks keep it out.
+            // A flipped bit may decode to another frame, since QUIC itself checks integrity; only
+            // a panic fails this test.
             let _ = decode_frame("peer", &changed[HEADER_BYTES..]);
         }
     }
 }
 
-/// Guards against an evacuation that a snapshot loses.
+/// Symptom: an evacuation ends although no operator ended it.
+/// Sequence: a control VM restarts from a snapshot that was taken during the evacuation.
+/// Cause: the snapshot does not contain the evacuation.
 #[test]
 fn can_keep_an_evacuation_in_a_snapshot() {
     let mut store = Store::default();
