--- a/components/node/src/frontend/pool.rs
+++ b/components/node/src/frontend/pool.rs
@@ -149,7 +149,7 @@
     let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
         .map_err(Error::peer(step, address))?
-        .map_err(|error| match descriptor::are_out(&error) {
+        .map_err(|error| match descriptor::are_exhausted(&error) {
             true => Error::file("open a socket", "(this process)")(error),
             false => Error::peer(step, address)(error),
         })?;
--- a/components/transport/src/disk.rs
+++ b/components/transport/src/disk.rs
@@ -1,8 +1,9 @@
-//! The data folder of a control VM.
+//! The data folder of a control VM, with its snapshot and write-ahead log.
 //!
-//! `disk` holds the identity. A generation is a `snapshot-N` with the `log-N`
-//! that follows it; the log's presence makes the generation count. A file
-//! counts only once it and the folder are synced.
+//! The file `disk` contains the identity of the disk. A generation consists of a file `snapshot-N`
+//! and the file `log-N` with the entries that follow the snapshot. The log is written last, so a
+//! generation is complete once its log exists. Files are created atomically: they and the
+//! folder are synced before they are used.
 
 use crate::frame::{self, Read};
 use crate::wal::{self, Item};
@@ -15,46 +16,50 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Bytes of log after which a snapshot is taken.
+/// Length of the log after which a snapshot is taken, unless it is set otherwise.
 ///
-/// A process that starts applies the log one change after the other before it serves. With
-/// 4 MiB, of some 30 configurations of 422 rules, control VMs with 0.15 of a core
-/// were ready 2.4 to 3.2 s after a loss of all processes and held 44 MB; with this,
-/// 1.3 to 1.6 s and 14 MB.
-pub const COMPACT_BYTES: u64 = 512 * 1024;
+/// At its start, a process applies the log one change at a time before it serves. A longer log
+/// delays the start, and takes more memory.
+pub const DEFAULT_COMPACT_BYTES: u64 = 512 * 1024;
 
+/// Header of a snapshot file.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-struct Head {
+struct Header {
     index: Index,
     term: Term,
     members: Members,
 }
 
-/// The open data folder.
+/// The open data folder of a control VM.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
     identity: Disk,
+    /// Current generation.
     generation: u64,
+    /// Log of the current generation, open for appending.
     log: File,
-    length: u64,
-    /// Bytes of the snapshot before the log.
-    snapshot: u64,
+    /// Length of the log.
+    log_bytes: u64,
+    /// Length of the current generation's snapshot.
+    snapshot_bytes: u64,
+    /// Length of the log after which a snapshot is taken.
     compact_bytes: u64,
-    syncs: u64,
+    /// Number of syncs since the folder was opened.
+    sync_count: u64,
 }
 
 impl Folder {
-    /// Opens a folder, or makes it with the identity `fresh`.
+    /// Opens a data folder and reads its content. A new folder gets the identity `new_identity`.
     ///
     /// # Errors
     ///
     /// When files cannot be read or written, or are damaged.
-    pub fn open(path: &Path, fresh: Disk) -> Result<(Self, Start)> {
-        fs::create_dir_all(path).map_err(Error::file("make the data folder", path))?;
-        let identity = identity(path, fresh)?;
-        let (generation, start, whole) = match newest(path)? {
+    pub fn open(path: &Path, new_identity: Disk) -> Result<(Self, Start)> {
+        fs::create_dir_all(path).map_err(Error::file("create the data folder", path))?;
+        let identity = read_or_create_identity(path, new_identity)?;
+        let (generation, start, valid_bytes) = match newest_generation(path)? {
             Some(generation) => read_generation(path, generation)?,
             None => {
                 write_generation(path, 0, &Snapshot::default(), Hard::default(), &[])?;
@@ -66,9 +71,9 @@
             .append(true)
             .open(&log_path)
             .map_err(Error::file("open the log", &log_path))?;
-        // A torn tail must go before new batches follow it.
-        log.set_len(whole)
-            .map_err(Error::file("drop a torn tail", &log_path))?;
+        // A torn tail is removed before new batches are appended.
+        log.set_len(valid_bytes)
+            .map_err(Error::file("remove the torn tail of the log", &log_path))?;
         log.sync_all()
             .map_err(Error::file("sync the log", &log_path))?;
         let folder = Folder {
@@ -76,69 +81,69 @@
             identity,
             generation,
             log,
-            length: whole,
+            log_bytes: valid_bytes,
             // CAST: `usize` is at most 64 bits on every supported target.
-            snapshot: start.snapshot.bytes.len() as u64,
-            compact_bytes: COMPACT_BYTES,
-            syncs: 0,
+            snapshot_bytes: start.snapshot.bytes.len() as u64,
+            compact_bytes: DEFAULT_COMPACT_BYTES,
+            sync_count: 0,
         };
         folder.remove_older();
         Ok((folder, start))
     }
 
-    /// Identity of the disk.
+    /// Identity of the disk, created with the folder.
     pub fn identity(&self) -> Disk {
         self.identity
     }
 
-    /// Whether this disk may begin a group: it was told so now, or at an earlier
-    /// start.
+    /// Whether this control VM may bootstrap a new consensus group: this is the first start of the
+    /// fleet, or an earlier start of this process was.
     ///
-    /// A process may end before it has met the others, and is not told at its next
-    /// start that the fleet starts for the first time. If the disk did not
-    /// remember, no group would ever begin.
+    /// A process may end before it has reached the other control VMs, and its next start is not
+    /// marked as the first start of the fleet. Unless the folder recorded the first start, the
+    /// group would never be created.
     ///
     /// # Errors
     ///
-    /// When the disk refuses.
-    pub fn may_bootstrap(&self, told: bool) -> Result<bool> {
-        let file = self.path.join(FIRST);
-        if told && !file.exists() {
-            write_whole(&self.path, FIRST, b"")?;
+    /// When the first start cannot be recorded in the folder.
+    pub fn may_bootstrap(&self, is_first_start: bool) -> Result<bool> {
+        let file = self.path.join(FIRST_START_FILE);
+        if is_first_start && !file.exists() {
+            write_atomically(&self.path, FIRST_START_FILE, b"")?;
         }
         Ok(file.exists())
     }
 
-    /// Syncs so far.
+    /// Number of syncs since the folder was opened.
     pub fn sync_count(&self) -> u64 {
-        self.syncs
+        self.sync_count
     }
 
-    /// Bytes in the log.
+    /// Length of the log in bytes.
     pub fn log_bytes(&self) -> u64 {
-        self.length
+        self.log_bytes
     }
 
-    /// Takes a snapshot after this many bytes of log instead.
+    /// Sets the length of the log after which a snapshot is taken.
     pub fn set_compact_bytes(&mut self, bytes: u64) {
         self.compact_bytes = bytes;
     }
 
-    /// Writes and syncs what must be on disk before messages are sent.
+    /// Writes and syncs what consensus requires on disk before its messages are sent.
     ///
     /// # Errors
     ///
-    /// When the disk refuses; the process must end then, since it can no
-    /// longer know what is safe.
+    /// When writing or syncing fails. The process must end then, since it is unknown what the disk
+    /// has stored.
     pub fn write(&mut self, ready: &Ready, hard: Hard) -> Result<()> {
         if let Some(snapshot) = &ready.install {
             self.start_generation(snapshot, ready.hard.unwrap_or(hard), &ready.append)?;
             return Ok(());
         }
         let mut items = Vec::new();
-        items.extend(ready.cut.map(Item::Cut));
+        items.extend(ready.cut.map(Item::Truncate));
         items.extend(ready.append.iter().cloned().map(Item::Entry));
-        items.extend(ready.hard.map(Item::Hard));
+        items.extend(ready.hard.map(Item::HardState));
         if items.is_empty() {
             return Ok(());
         }
@@ -150,21 +155,21 @@
         self.log
             .sync_data()
             .map_err(Error::file("sync the log", &path))?;
-        self.syncs += 1;
+        self.sync_count += 1;
         // CAST: `usize` is at most 64 bits on every supported target.
-        self.length += bytes.len() as u64;
+        self.log_bytes += bytes.len() as u64;
         Ok(())
     }
 
-    /// Whether the log has grown enough for a snapshot.
+    /// Whether the log is long enough for a new snapshot.
     ///
-    /// A large snapshot is not written again for less of a log than itself: at most as
-    /// much is written for snapshots as for the log.
+    /// The log must be at least as long as the last snapshot, so that no more bytes are written for
+    /// snapshots than for the log.
     pub fn needs_snapshot(&self) -> bool {
-        self.length >= self.compact_bytes.max(self.snapshot)
+        self.log_bytes >= self.compact_bytes.max(self.snapshot_bytes)
     }
 
-    /// Begins a new generation with a snapshot and what follows it.
+    /// Starts a new generation with a snapshot and the entries that follow it.
     ///
     /// # Errors
     ///
@@ -176,10 +181,10 @@
         tail: &[Entry],
     ) -> Result<()> {
         let next = self.generation + 1;
-        self.length = write_generation(&self.path, next, snapshot, hard, tail)?;
+        self.log_bytes = write_generation(&self.path, next, snapshot, hard, tail)?;
         // CAST: `usize` is at most 64 bits on every supported target.
-        self.snapshot = snapshot.bytes.len() as u64;
-        self.syncs += 3;
+        self.snapshot_bytes = snapshot.bytes.len() as u64;
+        self.sync_count += 3;
         let path = log_path(&self.path, next);
         self.log = OpenOptions::new()
             .append(true)
@@ -190,44 +195,47 @@
         Ok(())
     }
 
+    /// Removes the files of older generations.
     fn remove_older(&self) {
-        for (generation, path) in files(&self.path).unwrap_or_default() {
+        for (generation, path) in generation_files(&self.path).unwrap_or_default() {
             if generation < self.generation {
-                // What is left over is removed at the next start.
+                // A file that cannot be removed now is removed at the next start.
                 let _ = fs::remove_file(path);
             }
         }
     }
 }
 
-/// File that says that this disk was there when the fleet first started.
-const FIRST: &str = "first-start";
+/// Name of the empty file that records that this folder took part in the first start of the fleet.
+const FIRST_START_FILE: &str = "first-start";
 
-fn identity(path: &Path, fresh: Disk) -> Result<Disk> {
+/// Reads the identity of the disk; creates it in a folder without any generation.
+fn read_or_create_identity(path: &Path, new_identity: Disk) -> Result<Disk> {
     let file = path.join("disk");
     match fs::read(&file) {
         Ok(bytes) => {
             let found = match frame::read(&bytes) {
-                Read::Whole(body, _) => postcard::from_bytes(body).ok(),
+                Read::Valid(body, _) => postcard::from_bytes(body).ok(),
                 _ => None,
             };
-            found.ok_or_else(|| damaged("read the disk's identity", &file))
+            found.ok_or_else(|| corrupt("read the disk's identity", &file))
         }
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => {
-            if newest(path)?.is_some() {
-                return Err(damaged("find the disk's identity", &file));
+            if newest_generation(path)?.is_some() {
+                return Err(corrupt("find the disk's identity", &file));
             }
-            let body = postcard::to_stdvec(&fresh)
+            let body = postcard::to_stdvec(&new_identity)
                 .map_err(Error::peer("encode the identity", "(this disk)"))?;
             let mut bytes = Vec::new();
-            frame::push(&mut bytes, &body);
-            write_whole(path, "disk", &bytes)?;
-            Ok(fresh)
+            frame::append(&mut bytes, &body);
+            write_atomically(path, "disk", &bytes)?;
+            Ok(new_identity)
         }
         Err(source) => Err(Error::file("read the disk's identity", &file)(source)),
     }
 }
 
+/// Reads a generation; returns its number, its content and the length of its valid log.
 fn read_generation(path: &Path, generation: u64) -> Result<(u64, Start, u64)> {
     let snapshot = read_snapshot(&snapshot_path(path, generation))?;
     let log = log_path(path, generation);
@@ -238,31 +246,33 @@
         snapshot,
         entries: content.entries,
     };
-    Ok((generation, start, content.whole))
+    Ok((generation, start, content.valid_bytes))
 }
 
+/// Reads the snapshot in a file.
 fn read_snapshot(path: &Path) -> Result<Snapshot> {
     let bytes = fs::read(path).map_err(Error::file("read the snapshot", path))?;
-    decode_snapshot(&bytes).ok_or_else(|| damaged("read the snapshot", path))
+    decode_snapshot(&bytes).ok_or_else(|| corrupt("read the snapshot", path))
 }
 
-/// Reads a snapshot's bytes; `None` when they are not what was written.
+/// Decodes the bytes of a snapshot file; `None` when they are damaged.
 pub fn decode_snapshot(bytes: &[u8]) -> Option<Snapshot> {
-    let Read::Whole(head, rest) = frame::read(bytes) else {
+    let Read::Valid(header, rest) = frame::read(bytes) else {
         return None;
     };
-    let Read::Whole(body, []) = frame::read(rest) else {
+    let Read::Valid(body, []) = frame::read(rest) else {
         return None;
     };
-    let head: Head = postcard::from_bytes(head).ok()?;
+    let header: Header = postcard::from_bytes(header).ok()?;
     Some(Snapshot {
-        index: head.index,
-        term: head.term,
-        members: head.members,
+        index: header.index,
+        term: header.term,
+        members: header.members,
         bytes: Arc::new(body.to_vec()),
     })
 }
 
+/// Writes the files of a generation; returns the length of its log.
 fn write_generation(
     path: &Path,
     generation: u64,
@@ -270,48 +280,48 @@
     hard: Hard,
     tail: &[Entry],
 ) -> Result<u64> {
-    let head = Head {
+    let header = Header {
         index: snapshot.index,
         term: snapshot.term,
         members: snapshot.members.clone(),
     };
-    let head =
-        postcard::to_stdvec(&head).map_err(Error::peer("encode a snapshot", "(this disk)"))?;
+    let header =
+        postcard::to_stdvec(&header).map_err(Error::peer("encode a snapshot", "(this disk)"))?;
     let mut bytes = Vec::new();
-    frame::push(&mut bytes, &head);
-    frame::push(&mut bytes, &snapshot.bytes);
-    write_whole(path, &format!("snapshot-{generation}"), &bytes)?;
+    frame::append(&mut bytes, &header);
+    frame::append(&mut bytes, &snapshot.bytes);
+    write_atomically(path, &format!("snapshot-{generation}"), &bytes)?;
     let mut items: Vec<Item> = tail.iter().cloned().map(Item::Entry).collect();
-    items.push(Item::Hard(hard));
+    items.push(Item::HardState(hard));
     let log = wal::encode(&items)?;
-    write_whole(path, &format!("log-{generation}"), &log)?;
+    write_atomically(path, &format!("log-{generation}"), &log)?;
     Ok(log.len() as u64)
 }
 
-/// Writes a file so that it is there whole or not at all.
-fn write_whole(folder: &Path, name: &str, bytes: &[u8]) -> Result<()> {
-    let draft = folder.join(format!("{name}.new"));
+/// Writes a file atomically: under a temporary name, synced and then renamed.
+fn write_atomically(folder: &Path, name: &str, bytes: &[u8]) -> Result<()> {
+    let temporary = folder.join(format!("{name}.new"));
     let path = folder.join(name);
     let write = || -> std::io::Result<()> {
-        let mut file = File::create(&draft)?;
+        let mut file = File::create(&temporary)?;
         file.write_all(bytes)?;
         file.sync_all()?;
-        fs::rename(&draft, &path)?;
+        fs::rename(&temporary, &path)?;
         File::open(folder)?.sync_all()
     };
     write().map_err(Error::file("write a file", &path))
 }
 
-/// Newest generation whose log is there.
-fn newest(path: &Path) -> Result<Option<u64>> {
-    let logs = files(path)?.into_iter().filter(|(_, file)| {
+/// Newest complete generation: the newest one with a log.
+fn newest_generation(path: &Path) -> Result<Option<u64>> {
+    let logs = generation_files(path)?.into_iter().filter(|(_, file)| {
         (file.file_name()).is_some_and(|n| n.to_string_lossy().starts_with("log-"))
     });
     Ok(logs.map(|(generation, _)| generation).max())
 }
 
-/// Files of all generations.
-fn files(path: &Path) -> Result<Vec<(u64, PathBuf)>> {
+/// Files of all generations, each with its generation.
+fn generation_files(path: &Path) -> Result<Vec<(u64, PathBuf)>> {
     let entries = fs::read_dir(path).map_err(Error::file("list the data folder", path))?;
     let mut found = Vec::new();
     for entry in entries {
@@ -336,7 +346,8 @@
     path.join(format!("snapshot-{generation}"))
 }
 
-fn damaged(step: &'static str, path: &Path) -> Error {
+/// Error for a damaged file, with what an operator should do.
+fn corrupt(step: &'static str, path: &Path) -> Error {
     Error::Corrupt {
         step,
         path: path.display().to_string(),
--- a/components/transport/src/lib.rs
+++ b/components/transport/src/lib.rs
@@ -1,4 +1,4 @@
-//! Links between processes, their keys, disks, and the clocks.
+//! Links between processes, their certificates, the storage of control VMs, and clocks.
 
 pub mod clock;
 pub mod descriptor;
--- a/components/transport/src/link.rs
+++ b/components/transport/src/link.rs
@@ -1,7 +1,7 @@
 //! Links to other processes over QUIC, with certificates on both sides.
 //!
-//! There is one link between two processes. Messages on it arrive whole and
-//! in order, or the link is reported down. A later link is a new one.
+//! Two processes have at most one link. Its messages arrive complete and in order, or the link is
+//! reported as down. Messages of a lost link are not sent again on the next one.
 
 use crate::clock::Clock;
 use crate::tls::{self, Credentials};
@@ -21,37 +21,37 @@
 use std::time::Duration;
 use tokio::task::{JoinHandle, JoinSet};
 
-/// Messages that wait on one link; past them the link is cut.
+/// Most frames in the send queue of a link; a link with more is closed.
 ///
-/// A peer that takes nothing would otherwise hold ever more of our memory.
-const BACKLOG: usize = 8192;
-/// Bytes that wait on one link; past them the link is cut, too.
+/// The queue for a peer that does not read would otherwise grow without bound.
+const MAX_QUEUED_FRAMES: usize = 8192;
+/// Most bytes in the send queue of a link; a link with more is closed.
 ///
-/// Whole views and configurations are megabytes: thousands of them for one slow peer are
-/// more than a VM has. Two of the largest messages fit.
-const BACKLOG_BYTES: usize = 2 * (codec::HEADER_BYTES + codec::MAX_BODY_BYTES);
-/// Time between two tries to open a link.
-const REDIAL: Duration = Duration::from_millis(150);
-/// Longest time to open a link.
-const OPEN: Duration = Duration::from_secs(2);
-
-/// What links report.
+/// Full views and configurations take megabytes, and thousands of them for one slow peer would
+/// exhaust the memory of a VM. The bound is two of the longest frames.
+const MAX_QUEUED_BYTES: usize = 2 * (codec::HEADER_BYTES + codec::MAX_BODY_BYTES);
+/// Time between two attempts to open a link.
+const REDIAL_INTERVAL: Duration = Duration::from_millis(150);
+/// Longest time to open a link, including the handshake.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// What links report to this process.
 #[derive(Debug)]
 pub enum Event {
-    /// A link came up.
+    /// A link to this peer is up.
     Up(Hello),
-    /// A link was lost.
+    /// The link to this VM is down.
     Down(Name),
-    /// A message arrived.
+    /// A message from this VM has arrived.
     Message(Name, Message),
 }
 
 /// Timing of links.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Silence after which a link is down.
+    /// Time without any packet after which a link is down.
     pub idle_timeout: Duration,
-    /// Time between signs of life on a quiet link.
+    /// Time between keep-alive packets on an idle link.
     pub keep_alive_interval: Duration,
 }
 
@@ -64,116 +64,134 @@
     }
 }
 
-/// Counters of all links.
+/// Traffic counters of all links.
 #[derive(Debug, Default)]
 pub struct Counts {
-    /// Frames sent and their bytes, without headers of lower layers, by kind.
-    kinds: Mutex<BTreeMap<&'static str, (u64, u64)>>,
-    /// UDP datagrams and bytes of links that have ended, both ways.
-    ended: Mutex<(u64, u64)>,
+    /// Number and bytes of sent frames by kind of message, without headers of lower layers.
+    by_kind: Mutex<BTreeMap<&'static str, (u64, u64)>>,
+    /// UDP datagrams and bytes of links that are closed, in both directions.
+    closed_traffic: Mutex<(u64, u64)>,
 }
 
 impl Counts {
-    /// Frames sent and their bytes, without headers of lower layers, by kind.
+    /// Number and bytes of sent frames by kind of message, without headers of lower layers.
     pub fn frames_by_kind(&self) -> BTreeMap<&'static str, (u64, u64)> {
-        self.kinds
+        self.by_kind
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone()
     }
 
-    fn sent(&self, kind: &'static str, bytes: u64) {
-        let mut kinds = self.kinds.lock().unwrap_or_else(PoisonError::into_inner);
-        let (frames, total) = kinds.entry(kind).or_default();
+    /// Counts a sent frame.
+    fn count_sent(&self, kind: &'static str, bytes: u64) {
+        let mut by_kind = self.by_kind.lock().unwrap_or_else(PoisonError::into_inner);
+        let (frames, total) = by_kind.entry(kind).or_default();
         *frames += 1;
         *total += bytes;
     }
 }
 
+/// A link that is up.
 struct Link {
+    /// Introduction of the peer.
     hello: Hello,
+    /// Number that distinguishes this link from later ones to the same peer.
     serial: u64,
-    dialed: bool,
+    /// Whether this process opened the link.
+    is_dialed: bool,
+    /// Send queue of encoded frames.
     sender: flume::Sender<Bytes>,
-    /// Bytes that wait on it.
-    waiting: Arc<AtomicUsize>,
+    /// Bytes in the send queue, and those that are being written.
+    queued_bytes: Arc<AtomicUsize>,
     connection: quinn::Connection,
 }
 
 impl Link {
-    /// Queues a frame; false if more waits already than may.
+    /// Adds a frame to the send queue; returns false if the queue is full.
     fn queue(&self, frame: Bytes) -> bool {
         let length = frame.len();
-        let waiting = self.waiting.fetch_add(length, Ordering::Relaxed);
-        waiting + length <= BACKLOG_BYTES && self.sender.try_send(frame).is_ok()
+        let queued_bytes = self.queued_bytes.fetch_add(length, Ordering::Relaxed);
+        queued_bytes + length <= MAX_QUEUED_BYTES && self.sender.try_send(frame).is_ok()
     }
 }
 
+/// Links of this process, by the name of the peer's VM.
 #[derive(Default)]
 struct Table {
+    /// Links that are up.
     links: HashMap<Name, Link>,
+    /// Tasks that keep links open.
     dials: HashMap<Name, JoinHandle<()>>,
-    /// Peers that a test has cut off.
-    cut: HashSet<Name>,
-    /// Peers whose messages a test drops in silence.
-    mute: HashSet<Name>,
+    /// Peers to which a test has closed the links, and refuses new ones.
+    partitioned: HashSet<Name>,
+    /// Peers from and to which a test drops all messages, while the links stay up.
+    muted: HashSet<Name>,
+    /// Serial of the newest link.
     serial: u64,
 }
 
+/// State that all clones of a [`Hub`] share.
 struct Inner {
+    /// Introduction of this process.
     hello: Hello,
     clock: Clock,
     endpoint: quinn::Endpoint,
     client: quinn::ClientConfig,
-    /// Whether peers must prove who they are.
-    checked: bool,
+    /// Whether peers must prove their identity by a certificate.
+    verifies_peers: bool,
     table: Mutex<Table>,
     events: flume::Sender<Event>,
     counts: Counts,
+    /// The one task that owns all others; joined by [`Hub::stop`].
     tasks: tokio::sync::Mutex<JoinSet<()>>,
+    /// Hands a task to that one.
     spawn: flume::Sender<Task>,
 }
 
+/// A task that serves a link.
 type Task = std::pin::Pin<Box<dyn std::future::Future<Output = ()> + Send>>;
 
-/// All links of this process.
+/// All links of this process. Clones share their state.
 #[derive(Clone)]
 pub struct Hub {
     inner: Arc<Inner>,
 }
 
-/// A listening socket, before its process knows its own address.
+/// A bound socket for links, which does not accept any yet. Its address is part of the introduction
+/// that peers receive.
 pub struct Socket {
     endpoint: quinn::Endpoint,
     client: quinn::ClientConfig,
-    checked: bool,
+    verifies_peers: bool,
 }
 
 impl Socket {
-    /// Binds the address of the links; port 0 lets the system choose.
+    /// Binds the address of the links; with port 0, the operating system chooses the port.
     ///
     /// # Errors
     ///
-    /// When the keys do not fit or the address is taken.
-    pub fn bind(address: SocketAddr, keys: &Credentials, timing: Timing) -> Result<Self> {
+    /// When the credentials are invalid or the address cannot be bound.
+    pub fn bind(address: SocketAddr, credentials: &Credentials, timing: Timing) -> Result<Self> {
         let step = "prepare links";
         let idle = quinn::IdleTimeout::try_from(timing.idle_timeout).map_err(Error::key(step))?;
         let transport = |keep_alive| {
             let mut transport = quinn::TransportConfig::default();
             transport.keep_alive_interval(keep_alive);
             transport.max_idle_timeout(Some(idle));
-            // Our messages are small: probes for larger datagrams would cost more
-            // than they bring.
+            // Most messages are small, so probing for larger datagrams would cost more than it
+            // saves.
             transport.mtu_discovery_config(None);
             transport.max_concurrent_bidi_streams(0_u8.into());
             transport.max_concurrent_uni_streams(1_u8.into());
             Arc::new(transport)
         };
-        let server = QuicServerConfig::try_from(keys.server()?).map_err(Error::key(step))?;
+        let server =
+            QuicServerConfig::try_from(credentials.server_config()?).map_err(Error::key(step))?;
         let mut server = quinn::ServerConfig::with_crypto(Arc::new(server));
-        // Signs of life from one side, and their acknowledgement, serve both.
+        // Keep-alive packets of the dialing side, and their acknowledgements, serve both sides.
         server.transport_config(transport(None));
-        let client = QuicClientConfig::try_from(keys.client()?).map_err(Error::key(step))?;
+        let client =
+            QuicClientConfig::try_from(credentials.client_config()?).map_err(Error::key(step))?;
         let mut client = quinn::ClientConfig::new(Arc::new(client));
         client.transport_config(transport(Some(timing.keep_alive_interval)));
         let endpoint = quinn::Endpoint::server(server, address).map_err(Error::file(
@@ -183,23 +201,23 @@
         Ok(Socket {
             endpoint,
             client,
-            checked: keys.verifies_peers(),
+            verifies_peers: credentials.verifies_peers(),
         })
     }
 
-    /// The address that was bound.
+    /// Address that the socket is bound to.
     ///
     /// # Errors
     ///
-    /// When the system does not tell.
+    /// When the operating system does not return the address.
     pub fn address(&self) -> Result<SocketAddr> {
-        let step = "ask for the address of the links";
+        let step = "get the address of the links";
         self.endpoint
             .local_addr()
             .map_err(Error::file(step, "(socket)"))
     }
 
-    /// Starts accepting.
+    /// Starts to accept links; returns the hub and the events of all its links.
     pub fn start(self, hello: Hello, clock: Clock) -> (Hub, flume::Receiver<Event>) {
         let (events, receiver) = flume::unbounded();
         let (spawn, tasks) = flume::unbounded::<Task>();
@@ -208,7 +226,7 @@
             clock,
             endpoint: self.endpoint,
             client: self.client,
-            checked: self.checked,
+            verifies_peers: self.verifies_peers,
             table: Mutex::default(),
             events,
             counts: Counts::default(),
@@ -216,14 +234,14 @@
             spawn,
         });
         let hub = Hub { inner };
-        hub.inner.run(tasks);
+        hub.inner.start_tasks(tasks);
         (hub, receiver)
     }
 }
 
 impl Inner {
-    /// Runs the accepting task, and one that owns all others and joins them.
-    fn run(self: &Arc<Self>, tasks: flume::Receiver<Task>) {
+    /// Starts the task that accepts links, and that owns and joins the tasks of all links.
+    fn start_tasks(self: &Arc<Self>, tasks: flume::Receiver<Task>) {
         let hub = Hub {
             inner: self.clone(),
         };
@@ -250,20 +268,20 @@
 }
 
 impl Hub {
-    /// This process, as its peers see it.
+    /// Introduction of this process, as peers receive it.
     pub fn hello(&self) -> &Hello {
         &self.inner.hello
     }
 
-    /// Counters of all links.
+    /// Traffic counters of all links.
     pub fn counts(&self) -> &Counts {
         &self.inner.counts
     }
 
-    /// UDP datagrams and bytes sent and received on all links.
+    /// UDP datagrams and bytes, sent and received, of all links since the start.
     pub fn udp_traffic(&self) -> (u64, u64) {
-        let ended = self.inner.counts.ended.lock();
-        let mut total = *ended.unwrap_or_else(PoisonError::into_inner);
+        let closed_traffic = self.inner.counts.closed_traffic.lock();
+        let mut total = *closed_traffic.unwrap_or_else(PoisonError::into_inner);
         for link in self.inner.table().links.values() {
             let (datagrams, bytes) = traffic(&link.connection);
             total.0 += datagrams;
@@ -272,7 +290,7 @@
         total
     }
 
-    /// Keeps a link to a peer open from now on.
+    /// Keeps a link to a peer open from now on: opens it, and opens it again when it is lost.
     pub fn dial(&self, place: &Place) {
         if place.vm == self.inner.hello.place.vm {
             return;
@@ -281,24 +299,24 @@
         if table.dials.contains_key(&place.vm) {
             return;
         }
-        let (hub, place_kept) = (self.clone(), place.clone());
-        let handle = tokio::spawn(async move { hub.keep_open(place_kept).await });
+        let (hub, owned_place) = (self.clone(), place.clone());
+        let handle = tokio::spawn(async move { hub.keep_open(owned_place).await });
         table.dials.insert(place.vm.clone(), handle);
     }
 
-    /// No longer keeps a link to a peer open; one that is open stays.
+    /// Stops keeping a link to a peer open; a link that is up stays up.
     pub fn undial(&self, vm: &Name) {
         if let Some(handle) = self.inner.table().dials.remove(vm) {
             handle.abort();
         }
     }
 
-    /// Peers to which links are kept open.
+    /// Peers to which this process keeps links open.
     pub fn dialed_peers(&self) -> Vec<Name> {
         self.inner.table().dials.keys().cloned().collect()
     }
 
-    /// Closes the link to a peer, and no longer keeps one open.
+    /// Closes the link to a peer, and stops keeping it open.
     pub fn close(&self, vm: &Name) {
         self.undial(vm);
         if let Some(link) = self.inner.table().links.get(vm) {
@@ -306,12 +324,12 @@
         }
     }
 
-    /// Whether a link to a peer is up. One to this process always is.
+    /// Whether the link to a VM is up; true for the VM of this process.
     pub fn is_up(&self, vm: &Name) -> bool {
         *vm == self.inner.hello.place.vm || self.inner.table().links.contains_key(vm)
     }
 
-    /// Peers with a link, as they introduced themselves.
+    /// Introductions of all peers whose links are up.
     pub fn peers(&self) -> Vec<Hello> {
         self.inner
             .table()
@@ -321,7 +339,8 @@
             .collect()
     }
 
-    /// Sends a message; gives false if there is no link.
+    /// Queues a message to a VM; returns false if there is no link, or its send queue is full. A
+    /// message to this process itself arrives as an event.
     pub fn send(&self, vm: &Name, message: Message) -> bool {
         if *vm == self.inner.hello.place.vm {
             let event = Event::Message(vm.clone(), message);
@@ -343,7 +362,7 @@
         let Some(link) = table.links.get(vm) else {
             return false;
         };
-        if table.mute.contains(vm) {
+        if table.muted.contains(vm) {
             return true;
         }
         let length = bytes.len() as u64;
@@ -351,27 +370,27 @@
             link.connection.close(1_u8.into(), b"backlog");
             return false;
         }
-        self.inner.counts.sent(kind, length);
+        self.inner.counts.count_sent(kind, length);
         true
     }
 
-    /// For tests of failures: cuts off exactly these peers. With `silent`,
-    /// links stay up and messages vanish; else links are closed and refused.
+    /// For failure tests: simulates a network partition from exactly these peers. With `silent`,
+    /// links stay up and their messages are dropped; otherwise links are closed and refused.
     pub fn partition(&self, peers: &[Name], silent: bool) {
         let mut table = self.inner.table();
-        let all: HashSet<Name> = peers.iter().cloned().collect();
+        let partitioned_peers: HashSet<Name> = peers.iter().cloned().collect();
         if silent {
-            table.mute = all;
-            table.cut.clear();
+            table.muted = partitioned_peers;
+            table.partitioned.clear();
             return;
         }
-        table.mute.clear();
-        for vm in &all {
+        table.muted.clear();
+        for vm in &partitioned_peers {
             if let Some(link) = table.links.get(vm) {
                 link.connection.close(2_u8.into(), b"cut");
             }
         }
-        table.cut = all;
+        table.partitioned = partitioned_peers;
     }
 
     /// Closes all links and joins all tasks.
@@ -382,7 +401,7 @@
         };
         for dial in dials {
             dial.abort();
-            // An aborted task gives an error; there is nothing else to learn.
+            // The error of an aborted task is expected.
             let _ = dial.await;
         }
         self.inner.endpoint.close(0_u8.into(), b"stop");
@@ -391,18 +410,19 @@
         self.inner.endpoint.wait_idle().await;
     }
 
+    /// Accepts links until the endpoint is closed.
     async fn accept(self) {
         while let Some(incoming) = self.inner.endpoint.accept().await {
             let hub = self.clone();
             let task = async move {
-                let opened = tokio::time::timeout(OPEN, async {
+                let opened = tokio::time::timeout(OPEN_TIMEOUT, async {
                     let connection = incoming.await.map_err(Error::peer("accept a link", "?"))?;
-                    hub.greet(connection, None).await
+                    hub.handshake(connection, None).await
                 });
                 match opened.await {
                     Ok(Ok(run)) => run.await,
                     Ok(Err(error)) => tracing::debug!(%error, "a link was refused"),
-                    Err(_) => tracing::debug!("a link was refused: it took too long to open"),
+                    Err(_) => tracing::debug!("a link was refused: the handshake took too long"),
                 }
             };
             if self.inner.spawn.send(Box::pin(task)).is_err() {
@@ -411,21 +431,24 @@
         }
     }
 
+    /// Opens the link to a peer whenever it is down, until the task is aborted.
     async fn keep_open(self, place: Place) {
         loop {
-            let linked = self.is_up(&place.vm) || self.inner.table().cut.contains(&place.vm);
+            let linked =
+                self.is_up(&place.vm) || self.inner.table().partitioned.contains(&place.vm);
             if !linked {
-                match tokio::time::timeout(OPEN, self.open(&place)).await {
-                    // Its keeper owns it, so that it outlives the dialing.
+                match tokio::time::timeout(OPEN_TIMEOUT, self.open(&place)).await {
+                    // The owner of all tasks runs the link, so that the link outlives this task.
                     Ok(Ok(run)) => drop(self.inner.spawn.send(run)),
                     Ok(Err(error)) => tracing::trace!(%error, "a link could not be opened"),
                     Err(_) => tracing::trace!(peer = %place.vm, "a link took too long to open"),
                 }
             }
-            tokio::time::sleep(REDIAL).await;
+            tokio::time::sleep(REDIAL_INTERVAL).await;
         }
     }
 
+    /// Opens a link; returns the task that serves it.
     async fn open(&self, place: &Place) -> Result<Task> {
         let step = "open a link";
         let connecting = self
@@ -438,87 +461,97 @@
             )
             .map_err(Error::peer(step, &place.vm))?;
         let connection = connecting.await.map_err(Error::peer(step, &place.vm))?;
-        self.greet(connection, Some(&place.vm)).await
+        self.handshake(connection, Some(&place.vm)).await
     }
 
-    /// Exchanges hellos; gives the task that serves the link.
-    async fn greet(&self, connection: quinn::Connection, dialed: Option<&Name>) -> Result<Task> {
-        let far = connection.remote_address();
+    /// Exchanges introductions with the peer; returns the task that serves the link. A dialed peer
+    /// must be the VM `expected`.
+    async fn handshake(
+        &self,
+        connection: quinn::Connection,
+        expected: Option<&Name>,
+    ) -> Result<Task> {
+        let remote = connection.remote_address();
         let step = "greet";
-        let mut out = connection
+        let mut output = connection
             .open_uni()
             .await
-            .map_err(Error::peer(step, far))?;
+            .map_err(Error::peer(step, remote))?;
         let hello = Frame {
             stamp: self.inner.clock.stamp(),
             message: Message::Hello(self.inner.hello.clone()),
         };
         let bytes = codec::encode_frame(&hello)?;
-        out.write_all(&bytes)
+        output
+            .write_all(&bytes)
             .await
-            .map_err(Error::peer(step, far))?;
+            .map_err(Error::peer(step, remote))?;
         let mut input = connection
             .accept_uni()
             .await
-            .map_err(Error::peer(step, far))?;
-        let frame = read_frame(&mut input, &far.to_string()).await?;
+            .map_err(Error::peer(step, remote))?;
+        let frame = read_frame(&mut input, &remote.to_string()).await?;
         self.inner.clock.merge(frame.stamp);
         let Message::Hello(hello) = frame.message else {
-            return Err(refusal(far, "it did not say hello first"));
+            return Err(peer_error(remote, "its first message was not a hello"));
         };
-        if self.inner.checked && !is_certified(&connection, &hello.place.vm) {
-            return Err(refusal(far, "its certificate is another VM's"));
+        if self.inner.verifies_peers && !is_certified(&connection, &hello.place.vm) {
+            return Err(peer_error(
+                remote,
+                "its certificate is issued to another VM",
+            ));
         }
-        if dialed.is_some_and(|vm| *vm != hello.place.vm) {
-            return Err(refusal(far, "another VM answered"));
+        if expected.is_some_and(|vm| *vm != hello.place.vm) {
+            return Err(peer_error(remote, "another VM accepted the link"));
         }
         let vm = hello.place.vm.clone();
-        let (sender, receiver) = flume::bounded(BACKLOG);
-        let waiting = Arc::new(AtomicUsize::new(0));
-        let queue = (sender, waiting.clone());
+        let (sender, receiver) = flume::bounded(MAX_QUEUED_FRAMES);
+        let queued_bytes = Arc::new(AtomicUsize::new(0));
+        let queue = (sender, queued_bytes.clone());
         let serial = self
-            .enter(hello, dialed.is_some(), queue, &connection)
-            .ok_or_else(|| refusal(far, "there is a link already"))?;
+            .register(hello, expected.is_some(), queue, &connection)
+            .ok_or_else(|| peer_error(remote, "another link to this peer is kept"))?;
         let hub = self.clone();
         Ok(Box::pin(async move {
             let why = tokio::select! {
-                why = write_frames(&mut out, &receiver, &waiting) => why,
+                why = write_frames(&mut output, &receiver, &queued_bytes) => why,
                 why = hub.read_frames(&mut input, &vm) => why,
             };
             connection.close(0_u8.into(), b"end");
-            hub.leave(&vm, serial, &connection);
+            hub.unregister(&vm, serial, &connection);
             tracing::debug!(peer = %vm, %why, "a link ended");
         }))
     }
 
-    /// Enters a new link in the table, in place of an older one where it must.
+    /// Adds a new link to the table, where it may replace an older one to the same peer. Returns
+    /// its serial, or `None` if the link is refused.
     ///
-    /// Two processes may open links to each other at the same time. If each
-    /// kept its own, messages would cross over two links and lose their order.
-    /// The one that the smaller name opened stays.
-    fn enter(
+    /// Two processes can open links to each other at the same time. If each kept its own link,
+    /// messages would use two links and lose their order. The link that the VM with the smaller
+    /// name opened is kept.
+    fn register(
         &self,
         hello: Hello,
-        dialed: bool,
-        (sender, waiting): (flume::Sender<Bytes>, Arc<AtomicUsize>),
+        is_dialed: bool,
+        (sender, queued_bytes): (flume::Sender<Bytes>, Arc<AtomicUsize>),
         connection: &quinn::Connection,
     ) -> Option<u64> {
         let mut table = self.inner.table();
         let vm = hello.place.vm.clone();
         let own = &self.inner.hello.place.vm;
-        if table.cut.contains(&vm) || vm == *own {
+        if table.partitioned.contains(&vm) || vm == *own {
             return None;
         }
         if let Some(old) = table.links.get(&vm) {
-            let reborn = old.hello.incarnation != hello.incarnation;
-            let same_side = old.dialed == dialed;
-            let wins = dialed == (*own < vm);
-            let dead = old.connection.close_reason().is_some();
-            if !(reborn || same_side || wins || dead) {
+            let is_restarted = old.hello.incarnation != hello.incarnation;
+            let has_same_dialer = old.is_dialed == is_dialed;
+            let is_preferred = is_dialed == (*own < vm);
+            let is_closed = old.connection.close_reason().is_some();
+            if !(is_restarted || has_same_dialer || is_preferred || is_closed) {
                 return None;
             }
             old.connection.close(3_u8.into(), b"replaced");
-            self.count_ended(&old.connection);
+            self.count_closed(&old.connection);
             let _ = self.inner.events.send(Event::Down(vm.clone()));
         }
         table.serial += 1;
@@ -526,52 +559,56 @@
         let link = Link {
             hello: hello.clone(),
             serial,
-            dialed,
+            is_dialed,
             sender,
-            waiting,
+            queued_bytes,
             connection: connection.clone(),
         };
         table.links.insert(vm, link);
-        // The receiver lives as long as the process; if not, nobody listens.
+        // Sending fails only at the end of this process.
         let _ = self.inner.events.send(Event::Up(hello));
         Some(serial)
     }
 
-    fn leave(&self, vm: &Name, serial: u64, connection: &quinn::Connection) {
+    /// Removes a link from the table, unless a newer one has replaced it.
+    fn unregister(&self, vm: &Name, serial: u64, connection: &quinn::Connection) {
         let mut table = self.inner.table();
         if table.links.get(vm).is_some_and(|l| l.serial == serial) {
             table.links.remove(vm);
-            self.count_ended(connection);
+            self.count_closed(connection);
             let _ = self.inner.events.send(Event::Down(vm.clone()));
         }
     }
 
-    fn count_ended(&self, connection: &quinn::Connection) {
+    /// Adds the traffic of a closed connection to the counters.
+    fn count_closed(&self, connection: &quinn::Connection) {
         let (datagrams, bytes) = traffic(connection);
-        let ended = self.inner.counts.ended.lock();
-        let mut ended = ended.unwrap_or_else(PoisonError::into_inner);
-        ended.0 += datagrams;
-        ended.1 += bytes;
+        let closed_traffic = self.inner.counts.closed_traffic.lock();
+        let mut closed_traffic = closed_traffic.unwrap_or_else(PoisonError::into_inner);
+        closed_traffic.0 += datagrams;
+        closed_traffic.1 += bytes;
     }
 
+    /// Reads frames from a link and reports their messages; returns why reading ended.
     async fn read_frames(&self, input: &mut quinn::RecvStream, vm: &Name) -> Error {
         loop {
             let frame = match read_frame(input, vm.as_str()).await {
                 Ok(frame) => frame,
                 Err(error) => return error,
             };
-            if self.inner.table().mute.contains(vm) {
+            if self.inner.table().muted.contains(vm) {
                 continue;
             }
             self.inner.clock.merge(frame.stamp);
             let event = Event::Message(vm.clone(), frame.message);
             if self.inner.events.send(event).is_err() {
-                return refusal(vm, "this process has stopped listening");
+                return peer_error(vm, "this process is stopping");
             }
         }
     }
 }
 
+/// UDP datagrams and bytes of a connection, sent and received.
 fn traffic(connection: &quinn::Connection) -> (u64, u64) {
     let stats = connection.stats();
     (
@@ -580,6 +617,7 @@
     )
 }
 
+/// Whether the certificate of the peer is issued to `vm`.
 fn is_certified(connection: &quinn::Connection, vm: &Name) -> bool {
     let chain = connection.peer_identity();
     let chain = chain.and_then(|c| c.downcast::<Vec<CertificateDer<'static>>>().ok());
@@ -587,7 +625,8 @@
     first.is_some_and(|c| tls::is_issued_to(c, vm))
 }
 
-fn refusal<P>(peer: P, reason: &str) -> Error
+/// Error for a peer whose link is refused or has ended.
+fn peer_error<P>(peer: P, reason: &str) -> Error
 where
     P: ToString,
 {
@@ -598,26 +637,28 @@
     }
 }
 
+/// Writes queued frames to a link; returns why writing ended.
 async fn write_frames(
-    out: &mut quinn::SendStream,
+    output: &mut quinn::SendStream,
     frames: &flume::Receiver<Bytes>,
-    waiting: &AtomicUsize,
+    queued_bytes: &AtomicUsize,
 ) -> Error {
     loop {
         let Ok(first) = frames.recv_async().await else {
-            return refusal("?", "the link was replaced");
+            return peer_error("?", "the link was replaced");
         };
-        // What else waits goes into the same datagrams.
+        // Frames that are queued already are written together, to share datagrams.
         let mut batch = vec![first];
         batch.extend(frames.try_iter().take(63));
         let length = batch.iter().map(Bytes::len).sum();
-        if let Err(error) = out.write_all_chunks(&mut batch).await {
+        if let Err(error) = output.write_all_chunks(&mut batch).await {
             return Error::peer("write", "?")(error);
         }
-        waiting.fetch_sub(length, Ordering::Relaxed);
+        queued_bytes.fetch_sub(length, Ordering::Relaxed);
     }
 }
 
+/// Reads one frame from a link.
 async fn read_frame(input: &mut quinn::RecvStream, peer: &str) -> Result<Frame> {
     let step = "read a frame";
     let mut head = [0; codec::HEADER_BYTES];
--- a/components/transport/src/tls.rs
+++ b/components/transport/src/tls.rs
@@ -1,4 +1,5 @@
-//! The fleet's certificate authority and the certificates of its VMs.
+//! TLS: the fleet's certificate authority, the certificates of its VMs, and the configurations of
+//! links.
 
 use errors::{Error, Result};
 use rcgen::{
@@ -15,8 +16,8 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Application protocol that both sides of a link name.
-const PROTOCOL: &[u8] = b"cowslipford/1";
+/// Application protocol (ALPN) that both sides of a link must agree on.
+const ALPN_PROTOCOL: &[u8] = b"cowslipford/1";
 
 /// A certificate with its private key, as PEM text.
 #[derive(Clone, Debug)]
@@ -27,13 +28,13 @@
     pub key: String,
 }
 
-/// Makes a certificate authority.
+/// Creates a certificate authority for a fleet.
 ///
 /// # Errors
 ///
-/// When the key cannot be made.
+/// When the key cannot be generated.
 pub fn create_authority() -> Result<Identity> {
-    let step = "make the fleet's authority";
+    let step = "create the fleet's authority";
     let key = KeyPair::generate().map_err(Error::key(step))?;
     let certificate = authority_params()
         .self_signed(&key)
@@ -44,6 +45,7 @@
     })
 }
 
+/// Parameters of an authority's certificate.
 fn authority_params() -> CertificateParams {
     let mut params = CertificateParams::default();
     params.is_ca = IsCa::Ca(BasicConstraints::Constrained(0));
@@ -54,11 +56,11 @@
     params
 }
 
-/// Makes a VM's certificate.
+/// Issues a certificate for a VM, with a new key.
 ///
 /// # Errors
 ///
-/// When the authority's key is wrong.
+/// When the authority's key is invalid.
 pub fn issue_certificate(authority: &Identity, vm: &Name) -> Result<Identity> {
     let step = "issue a certificate";
     let issuer_key = KeyPair::from_pem(&authority.key).map_err(Error::key(step))?;
@@ -81,12 +83,12 @@
     })
 }
 
-/// Name that a VM's certificate is for.
+/// Server name in a VM's certificate.
 pub fn server_name(vm: &Name) -> String {
     format!("{vm}.vm.cowslipford.internal")
 }
 
-/// Whether a peer's certificate is the one of `vm`.
+/// Whether a peer's certificate is issued to `vm`.
 pub fn is_issued_to(certificate: &CertificateDer<'_>, vm: &Name) -> bool {
     let Ok(name) = ServerName::try_from(server_name(vm)) else {
         return false;
@@ -95,44 +97,43 @@
         .is_ok_and(|c| c.verify_is_valid_for_subject_name(&name).is_ok())
 }
 
-/// What a process needs to open and accept links.
+/// Certificates and key with which a process opens and accepts links.
 #[derive(Clone, Debug)]
 pub struct Credentials {
-    /// Certificate of the authority that all peers need; without one, any peer
-    /// is taken for what it says it is.
+    /// Certificate of the authority that must have issued the certificates of all peers. Without an
+    /// authority, a peer's claim to be a certain VM is not verified.
     authority: Option<CertificateDer<'static>>,
     certificate: CertificateDer<'static>,
     key: Arc<PrivateKeyDer<'static>>,
 }
 
 impl Credentials {
-    /// Reads the three files that the settings name.
+    /// Reads the authority's certificate, this VM's certificate and its key from files.
     ///
     /// # Errors
     ///
-    /// When one cannot be read or holds something else.
+    /// When a file cannot be read or has another content.
     pub fn read(authority: &Path, certificate: &Path, key: &Path) -> Result<Self> {
         Ok(Credentials {
-            authority: Some(pem(authority)?),
-            certificate: pem(certificate)?,
+            authority: Some(read_certificate(authority)?),
+            certificate: read_certificate(certificate)?,
             key: Arc::new(
-                PrivateKeyDer::from_pem_file(key).map_err(|e| wrong(key, &e.to_string()))?,
+                PrivateKeyDer::from_pem_file(key).map_err(|e| file_error(key, &e.to_string()))?,
             ),
         })
     }
 
-    /// Makes a key for this start of the process alone, and trusts every peer.
+    /// Generates a key for this start of the process only, and trusts every peer.
     ///
-    /// Links are encrypted, so that nobody reads along, but whoever reaches the
-    /// address of the links can pose as any VM of the fleet. It is for networks
-    /// that only the fleet's VMs reach, where no secret can be handed out before
-    /// they start.
+    /// Links are encrypted, but whoever can reach the address of the links can impersonate any VM
+    /// of the fleet. This is for networks that only the fleet's VMs can reach, and where no secret
+    /// can be distributed before they start.
     ///
     /// # Errors
     ///
-    /// When the key cannot be made.
+    /// When the key cannot be generated.
     pub fn unauthenticated(vm: &Name) -> Result<Self> {
-        let step = "make a key for this start";
+        let step = "generate a key for this start";
         let key = KeyPair::generate().map_err(Error::key(step))?;
         let params = CertificateParams::new(vec![server_name(vm)]).map_err(Error::key(step))?;
         let certificate = params.self_signed(&key).map_err(Error::key(step))?;
@@ -149,11 +150,11 @@
         self.authority.is_some()
     }
 
-    /// Takes keys from memory.
+    /// Parses certificates and key from PEM texts.
     ///
     /// # Errors
     ///
-    /// When a text holds something else.
+    /// When a text has another content.
     pub fn from_pem(authority: &str, pair: &Identity) -> Result<Self> {
         let step = "read keys";
         let certificate =
@@ -167,7 +168,8 @@
         })
     }
 
-    fn roots(&self) -> Result<Option<Arc<rustls::RootCertStore>>> {
+    /// Root certificates that peers are verified against; `None` without an authority.
+    fn root_store(&self) -> Result<Option<Arc<rustls::RootCertStore>>> {
         let Some(authority) = &self.authority else {
             return Ok(None);
         };
@@ -178,18 +180,19 @@
         Ok(Some(Arc::new(roots)))
     }
 
-    /// Settings for accepting links: only peers of this fleet's authority.
+    /// TLS configuration for accepting links. With an authority, peers need a certificate issued by
+    /// it.
     ///
     /// # Errors
     ///
     /// When the keys do not fit each other.
-    pub fn server(&self) -> Result<rustls::ServerConfig> {
+    pub fn server_config(&self) -> Result<rustls::ServerConfig> {
         let step = "prepare to accept links";
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let builder = rustls::ServerConfig::builder_with_provider(provider.clone())
             .with_protocol_versions(&[&rustls::version::TLS13])
             .map_err(Error::key(step))?;
-        let builder = match self.roots()? {
+        let builder = match self.root_store()? {
             Some(roots) => {
                 let verifier = WebPkiClientVerifier::builder_with_provider(roots, provider)
                     .build()
@@ -201,41 +204,41 @@
         let mut config = builder
             .with_single_cert(vec![self.certificate.clone()], self.key.clone_key())
             .map_err(Error::key(step))?;
-        config.alpn_protocols = vec![PROTOCOL.to_vec()];
+        config.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
         Ok(config)
     }
 
-    /// Settings for opening links.
+    /// TLS configuration for opening links.
     ///
     /// # Errors
     ///
     /// When the keys do not fit each other.
-    pub fn client(&self) -> Result<rustls::ClientConfig> {
+    pub fn client_config(&self) -> Result<rustls::ClientConfig> {
         let step = "prepare to open links";
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let builder = rustls::ClientConfig::builder_with_provider(provider.clone())
             .with_protocol_versions(&[&rustls::version::TLS13])
             .map_err(Error::key(step))?;
-        let mut config = match self.roots()? {
+        let mut config = match self.root_store()? {
             Some(roots) => builder
                 .with_root_certificates(roots)
                 .with_client_auth_cert(vec![self.certificate.clone()], self.key.clone_key())
                 .map_err(Error::key(step))?,
             None => builder
                 .dangerous()
-                .with_custom_certificate_verifier(Arc::new(Unchecked(provider)))
+                .with_custom_certificate_verifier(Arc::new(AnyCertificate(provider)))
                 .with_no_client_auth(),
         };
-        config.alpn_protocols = vec![PROTOCOL.to_vec()];
+        config.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
         Ok(config)
     }
 }
 
-/// Takes any certificate, but still has its holder prove that it has the key.
+/// Verifier that accepts any certificate, but requires the peer to prove that it has the key.
 #[derive(Debug)]
-struct Unchecked(Arc<CryptoProvider>);
+struct AnyCertificate(Arc<CryptoProvider>);
 
-impl ServerCertVerifier for Unchecked {
+impl ServerCertVerifier for AnyCertificate {
     fn verify_server_cert(
         &self,
         _end_entity: &CertificateDer<'_>,
@@ -272,15 +275,17 @@
     }
 }
 
-fn pem(path: &Path) -> Result<CertificateDer<'static>> {
-    CertificateDer::from_pem_file(path).map_err(|e| wrong(path, &e.to_string()))
+/// Reads a certificate from a PEM file.
+fn read_certificate(path: &Path) -> Result<CertificateDer<'static>> {
+    CertificateDer::from_pem_file(path).map_err(|e| file_error(path, &e.to_string()))
 }
 
-fn wrong(path: &Path, reason: &str) -> Error {
+/// Error for a file without the expected certificate or key.
+fn file_error(path: &Path, reason: &str) -> Error {
     Error::Key {
         step: "read keys",
         reason: format!(
-            "{}: {reason}; `cowslipford keys` makes the files that are needed",
+            "{}: {reason}; `cowslipford keys` creates the required files",
             path.display()
         ),
     }
--- a/components/transport/tests/disk.rs
+++ b/components/transport/tests/disk.rs
@@ -1,4 +1,4 @@
-//! The data folder and its log under damage.
+//! Tests of the data folder of a control VM: restarts, snapshots, and damaged files.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
 use coordination::agree::{Entry, Hard, Index, Ready, Snapshot, Start, Term};
@@ -31,7 +31,7 @@
     Folder::open(path, Disk(7)).unwrap()
 }
 
-fn log(path: &Path) -> PathBuf {
+fn log_file(path: &Path) -> PathBuf {
     let files = fs::read_dir(path).unwrap().map(|e| e.unwrap().path());
     let mut logs = files.filter(|p| p.display().to_string().contains("/log-"));
     logs.next().unwrap()
@@ -56,7 +56,7 @@
     disk.write(&ready, hard).unwrap();
     drop(disk);
     let (disk, start) = Folder::open(folder.path(), Disk(8)).unwrap();
-    // The identity is that of the first start.
+    // The identity of the first start is kept.
     assert_eq!(disk.identity(), Disk(7));
     assert_eq!(start.hard, hard);
     assert_eq!(start.entries, (1..=4).map(entry).collect::<Vec<_>>());
@@ -85,20 +85,19 @@
 }
 
 #[test]
-fn can_drop_a_torn_tail_wherever_it_was_torn() {
-    // Symptom: a control VM does not start after a power cut, or starts with
-    // half a record.
-    // Sequence: power goes while a batch is written.
-    // Cause: a batch that is neither whole nor absent.
+fn can_drop_a_tail_torn_at_any_byte() {
+    // Symptom: a control VM does not start after a power failure, or starts with half a record.
+    // Sequence: the power fails while a batch is written to the log.
+    // Cause: the incomplete batch is read as damage, or as a batch.
     let folder = tempfile::tempdir().unwrap();
     let (mut disk, _) = open(folder.path());
     disk.write(&append(1..=2), Hard::default()).unwrap();
-    let whole = disk.log_bytes();
+    let valid_bytes = disk.log_bytes();
     disk.write(&append(3..=5), Hard::default()).unwrap();
     drop(disk);
-    let file = log(folder.path());
+    let file = log_file(folder.path());
     let bytes = fs::read(&file).unwrap();
-    for cut in usize::try_from(whole).unwrap()..bytes.len() {
+    for cut in usize::try_from(valid_bytes).unwrap()..bytes.len() {
         fs::write(&file, &bytes[..cut]).unwrap();
         let (mut disk, start) = open(folder.path());
         assert_eq!(start.entries.len(), 2, "cut at {cut}");
@@ -110,9 +109,9 @@
 
 #[test]
 fn errors_when_bytes_in_the_middle_have_changed() {
-    // Symptom: an accepted change is gone after a restart.
-    // Sequence: a bit flips in a batch that others follow.
-    // Cause: damage taken for a torn tail.
+    // Symptom: an accepted change is lost after a restart.
+    // Sequence: a bit flips in a batch of the log that other batches follow.
+    // Cause: the damage is handled as a torn tail.
     let batch = |range: std::ops::RangeInclusive<u64>| {
         wal::encode(&range.map(|n| Item::Entry(entry(n))).collect::<Vec<_>>()).unwrap()
     };
@@ -130,7 +129,7 @@
 
 #[test]
 fn can_read_any_damaged_bytes_without_a_wrong_record() {
-    // `FUZZ_ROUNDS` runs more; each round damages a log and a snapshot.
+    // Each round damages a log and a snapshot. `FUZZ_ROUNDS` sets the number of rounds.
     let rounds = std::env::var("FUZZ_ROUNDS")
         .ok()
         .and_then(|r| r.parse().ok())
@@ -146,14 +145,14 @@
         .collect();
     let log = batches.concat();
     let mut snapshot = Vec::new();
-    transport::frame::push(&mut snapshot, &[1, 1, 0, 0]);
-    transport::frame::push(&mut snapshot, b"the state");
+    transport::frame::append(&mut snapshot, &[1, 1, 0, 0]);
+    transport::frame::append(&mut snapshot, b"the state");
     assert!(decode_snapshot(&snapshot).is_some());
     for _ in 0..rounds {
         let mut bytes = log.clone();
         damage(&mut rng, &mut bytes);
         if let Ok(content) = wal::decode(Path::new("log"), &bytes) {
-            // What is read is a beginning of what was written.
+            // The entries that are read are a prefix of those that were written.
             let count = u64::try_from(content.entries.len()).unwrap();
             assert_eq!(content.entries, (1..=count).map(entry).collect::<Vec<_>>());
         }
@@ -165,6 +164,7 @@
     }
 }
 
+/// Truncates the bytes, flips a bit or zeroes a range, up to three times.
 fn damage(rng: &mut Pcg64, bytes: &mut Vec<u8>) {
     for _ in 0..rng.random_range(1..4) {
         match rng.random_range(0..3) {
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn errors_when_the_identity_is_gone_but_the_log_is_there() {
+fn errors_when_the_identity_is_missing_beside_a_log() {
     let folder = tempfile::tempdir().unwrap();
     drop(open(folder.path()));
     fs::remove_file(folder.path().join("disk")).unwrap();
@@ -195,11 +195,11 @@
 }
 
 #[test]
-fn a_log_is_replaced_before_it_takes_long_to_apply() {
-    // Symptom: after a loss of all processes, routers refuse everything for three seconds.
-    // Sequence: operators change a large configuration some thirty times; all processes
-    // are lost and start again.
-    // Cause: all of these changes stood in the log and were applied again, one by one.
+fn can_take_a_snapshot_before_the_log_is_slow_to_apply() {
+    // Symptom: after all processes are lost, routers refuse all requests for three seconds.
+    // Sequence: operators change a large configuration some thirty times; all processes are lost
+    // and start again.
+    // Cause: all these changes are still in the log, and are applied again one at a time.
     let folder = tempfile::tempdir().unwrap();
     let (mut disk, _) = open(folder.path());
     let change = |index| Entry {
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_large_snapshot_is_not_written_for_a_short_log() {
+fn can_wait_for_a_long_log_after_a_large_snapshot() {
     let folder = tempfile::tempdir().unwrap();
     let (mut disk, _) = open(folder.path());
     disk.set_compact_bytes(4096);
@@ -243,7 +243,7 @@
         assert!(!disk.needs_snapshot(), "at {} bytes", disk.log_bytes());
     }
     drop(disk);
-    // It is known again after a start.
+    // The length of the snapshot is known again after a restart.
     let (mut disk, _) = open(folder.path());
     disk.set_compact_bytes(4096);
     assert!(!disk.needs_snapshot());
--- a/components/transport/tests/link.rs
+++ b/components/transport/tests/link.rs
@@ -1,4 +1,4 @@
-//! Links between processes.
+//! Tests of links between processes.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
 use protocol::wire::{Hello, Message, Query};
@@ -10,7 +10,8 @@
 use transport::link::{Event, Hub, Socket, Timing};
 use transport::tls::{create_authority, issue_certificate, Credentials, Identity};
 
-struct Side {
+/// A process with links, in this test's own process.
+struct Process {
     hub: Hub,
     events: flume::Receiver<Event>,
     place: Place,
@@ -20,13 +21,14 @@
     Name::try_from(text).unwrap()
 }
 
-fn side(authority: &Identity, claims: &str, certified: &str, incarnation: u64) -> Side {
-    let pair = issue_certificate(authority, &name(certified)).unwrap();
-    let keys = Credentials::from_pem(&authority.certificate, &pair).unwrap();
+/// Starts a process that introduces itself as `vm`, with a certificate issued to `certificate_vm`.
+fn process(authority: &Identity, vm: &str, certificate_vm: &str, incarnation: u64) -> Process {
+    let pair = issue_certificate(authority, &name(certificate_vm)).unwrap();
+    let credentials = Credentials::from_pem(&authority.certificate, &pair).unwrap();
     let any = "127.0.0.1:0".parse().unwrap();
-    let socket = Socket::bind(any, &keys, Timing::default()).unwrap();
+    let socket = Socket::bind(any, &credentials, Timing::default()).unwrap();
     let place = Place {
-        vm: name(claims),
+        vm: name(vm),
         address: socket.address().unwrap(),
     };
     let hello = Hello {
@@ -36,23 +38,23 @@
         data_centre: name("dc-1"),
     };
     let (hub, events) = socket.start(hello, Clock::default());
-    Side { hub, events, place }
+    Process { hub, events, place }
 }
 
-async fn next(side: &Side) -> Option<Event> {
-    let wait = tokio::time::timeout(Duration::from_secs(20), side.events.recv_async());
+async fn next(process: &Process) -> Option<Event> {
+    let wait = tokio::time::timeout(Duration::from_secs(20), process.events.recv_async());
     wait.await.ok()?.ok()
 }
 
-async fn is_quiet(side: &Side) -> bool {
-    let wait = tokio::time::timeout(Duration::from_millis(800), side.events.recv_async());
+async fn is_quiet(process: &Process) -> bool {
+    let wait = tokio::time::timeout(Duration::from_millis(800), process.events.recv_async());
     wait.await.is_err()
 }
 
 #[tokio::test]
 async fn can_carry_messages_in_order_both_ways() {
     let fleet = create_authority().unwrap();
-    let (a, b) = (side(&fleet, "a", "a", 1), side(&fleet, "b", "b", 1));
+    let (a, b) = (process(&fleet, "a", "a", 1), process(&fleet, "b", "b", 1));
     a.hub.dial(&b.place);
     assert!(matches!(next(&a).await, Some(Event::Up(h)) if h.place == b.place));
     assert!(matches!(next(&b).await, Some(Event::Up(h)) if h.place == a.place));
@@ -74,18 +76,18 @@
 }
 
 #[tokio::test]
-async fn can_agree_on_one_link_when_both_open_one() {
-    // Symptom: messages overtake each other, or go to a link that nobody reads.
+async fn can_keep_one_link_when_both_sides_open_one() {
+    // Symptom: messages arrive out of order, or are sent on a link that the peer does not read.
     // Sequence: two processes open links to each other at the same time.
-    // Cause: each keeps the one that it opened.
+    // Cause: each process keeps the link that it opened.
     let fleet = create_authority().unwrap();
     for _ in 0..3 {
-        let (a, b) = (side(&fleet, "a", "a", 1), side(&fleet, "b", "b", 1));
+        let (a, b) = (process(&fleet, "a", "a", 1), process(&fleet, "b", "b", 1));
         a.hub.dial(&b.place);
         b.hub.dial(&a.place);
         assert!(matches!(next(&a).await, Some(Event::Up(_))));
         assert!(matches!(next(&b).await, Some(Event::Up(_))));
-        // Whichever came first, the one that `a` opened is left in the end.
+        // Whichever link came up first, the one that `a` opened is kept in the end.
         while !is_quiet(&a).await || !is_quiet(&b).await {}
         assert!(a.hub.send(&b.place.vm, Message::VersionProof(Version(1))));
         assert!(b.hub.send(&a.place.vm, Message::VersionProof(Version(2))));
@@ -97,50 +99,50 @@
 }
 
 #[tokio::test]
-async fn can_refuse_a_stranger_and_a_name_that_is_not_its_own() {
-    // Symptom: a machine outside the fleet is given slots, or votes.
-    // Sequence: it opens a link with a certificate of its own authority, or
-    // with another VM's name.
-    // Cause: links that trust what is said over them.
+async fn can_refuse_a_peer_of_another_authority_or_with_another_name() {
+    // Symptom: a machine outside the fleet receives endpoint slots, or votes.
+    // Sequence: the machine opens a link with a certificate of another authority, or with the name
+    // of another VM.
+    // Cause: the introduction on a link is trusted without verification.
     let fleet = create_authority().unwrap();
-    let host = side(&fleet, "host", "host", 1);
-    let stranger = side(&create_authority().unwrap(), "a", "a", 1);
+    let host = process(&fleet, "host", "host", 1);
+    let stranger = process(&create_authority().unwrap(), "a", "a", 1);
     stranger.hub.dial(&host.place);
-    let impostor = side(&fleet, "a", "b", 1);
+    let impostor = process(&fleet, "a", "b", 1);
     impostor.hub.dial(&host.place);
     assert!(is_quiet(&host).await);
     assert!(!host.hub.is_up(&name("a")));
-    for side in [host, stranger, impostor] {
-        side.hub.stop().await;
+    for process in [host, stranger, impostor] {
+        process.hub.stop().await;
     }
 }
 
 #[tokio::test]
-async fn can_replace_the_link_of_a_former_life() {
-    // Symptom: messages to a restarted process go nowhere until a time-out.
-    // Sequence: a process dies without a word and comes back.
-    // Cause: the link of its former life is kept.
+async fn can_replace_the_link_of_an_earlier_incarnation() {
+    // Symptom: messages to a restarted process are lost until the idle timeout.
+    // Sequence: a process is killed without closing its links, and starts again.
+    // Cause: the link of its earlier incarnation is kept.
     let fleet = create_authority().unwrap();
-    let host = side(&fleet, "host", "host", 1);
-    let first = side(&fleet, "a", "a", 1);
+    let host = process(&fleet, "host", "host", 1);
+    let first = process(&fleet, "a", "a", 1);
     first.hub.dial(&host.place);
     assert!(matches!(next(&host).await, Some(Event::Up(h)) if h.incarnation == 1));
-    let second = side(&fleet, "a", "a", 2);
+    let second = process(&fleet, "a", "a", 2);
     second.hub.dial(&host.place);
     assert!(matches!(next(&host).await, Some(Event::Down(_))));
     assert!(matches!(next(&host).await, Some(Event::Up(h)) if h.incarnation == 2));
-    for side in [first, second, host] {
-        side.hub.stop().await;
+    for process in [first, second, host] {
+        process.hub.stop().await;
     }
 }
 
 #[tokio::test]
-async fn can_bound_the_bytes_that_wait_for_a_slow_peer() {
-    // What waits on a link was bounded by messages, 8,192, whatever their size. To a
-    // peer that takes nothing 64 messages of a megabyte were all accepted and held;
-    // 8,192 would have been more than any VM has.
+async fn can_bound_the_bytes_queued_for_a_slow_peer() {
+    // Symptom: a process runs out of memory because of one slow peer.
+    // Sequence: messages of a megabyte are sent to a peer that does not read.
+    // Cause: the send queue is bounded by its number of messages, 8,192, but not by their bytes.
     let fleet = create_authority().unwrap();
-    let (a, b) = (side(&fleet, "a", "a", 1), side(&fleet, "b", "b", 1));
+    let (a, b) = (process(&fleet, "a", "a", 1), process(&fleet, "b", "b", 1));
     a.hub.dial(&b.place);
     assert!(matches!(next(&a).await, Some(Event::Up(_))));
     let large = Query::Change {
@@ -148,11 +150,11 @@
         base: Version(1),
         text: "x".repeat(1 << 20),
     };
-    // Nothing leaves meanwhile: this task does not wait, and no other one runs.
+    // Nothing is written meanwhile, since this task does not yield to another one.
     let message = || Message::Query(1, large.clone());
     let taken = (0..64).filter(|_| a.hub.send(&b.place.vm, message()));
     assert!(taken.count() < 16);
-    // The link is opened anew, and carries again what fits.
+    // The link is opened again, and transfers messages that fit in its queue.
     assert!(matches!(next(&a).await, Some(Event::Down(_))));
     assert!(matches!(next(&a).await, Some(Event::Up(_))));
     for _ in 0..2 {
@@ -167,9 +169,9 @@
 }
 
 #[tokio::test]
-async fn can_cut_a_peer_off_for_tests() {
+async fn can_simulate_a_partition_from_a_peer() {
     let fleet = create_authority().unwrap();
-    let (a, b) = (side(&fleet, "a", "a", 1), side(&fleet, "b", "b", 1));
+    let (a, b) = (process(&fleet, "a", "a", 1), process(&fleet, "b", "b", 1));
     a.hub.dial(&b.place);
     assert!(matches!(next(&a).await, Some(Event::Up(_))));
     a.hub.partition(&[name("b")], false);
