--- a/components/node/src/frontend/access_log.rs
+++ b/components/node/src/frontend/access_log.rs
@@ -10,7 +10,7 @@
 use crate::input::Dispatch;
 use crate::metric::{Labels, Metrics};
 use crate::shared::Published;
-use coordination::ask::Placement;
+use coordination::messages::Placement;
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
 use state::clock::Millis;
@@ -57,7 +57,7 @@
     /// Such a request's task is cancelled at any await point. Without this line, the logs
     /// would show a request that was sent and never ended.
     fn drop(&mut self) {
-        self.metrics.here.dec();
+        self.metrics.open_requests.dec();
         if !self.is_logged {
             let outcome = match self.tries {
                 0 => Outcome::NotRun,
@@ -77,8 +77,8 @@
         published: &Published,
         metrics: Metrics,
     ) -> Self {
-        metrics.here.inc();
-        metrics.asked.inc();
+        metrics.open_requests.inc();
+        metrics.request_heads.inc();
         Entry {
             id,
             metrics,
@@ -86,7 +86,7 @@
             arrived_at,
             version: published.view.version.0,
             release: published.view.release,
-            proof_ms: published.proof.map(|at| now.since(at)),
+            proof_ms: published.verified_at.map(|at| now.since(at)),
             rule: None,
             customer: None,
             service: None,
@@ -120,13 +120,13 @@
     pub(crate) fn log_dispatch(&mut self, dispatch: &Dispatch, fingerprint: Fingerprint) {
         self.tries += 1;
         self.fingerprint = Some(fingerprint);
-        self.metrics.sent.inc();
+        self.metrics.attempts.inc();
         self.first_wait
             .get_or_insert_with(|| self.arrived_at.elapsed());
         self.endpoint = Some(dispatch.name.clone());
         let Placement {
             epoch,
-            basis,
+            forecast,
             unasked_ms,
             ..
         } = dispatch.placement;
@@ -140,9 +140,9 @@
             endpoint = dispatch.name.as_str(),
             version = self.version,
             epoch = epoch.0,
-            to_read = basis.to_read,
-            ahead_ms = basis.ahead_ms,
-            first_ms = basis.first_ms,
+            to_read = forecast.to_read,
+            ahead_ms = forecast.ahead_ms,
+            first_ms = forecast.first_ms,
             copy_from = dispatch.copy_from.map(tracing::field::display),
             tries = self.tries,
             unasked_ms,
@@ -183,7 +183,7 @@
     /// Counts that the router itself refuses the request, without a log line.
     pub(crate) fn count_refusal(&mut self, refusal: &Refusal) {
         self.is_logged = true;
-        self.metrics.untold.inc();
+        self.metrics.unlogged_refusals.inc();
         let outcome = refusal.outcome.as_str();
         self.count(self.arrived_at.elapsed(), None, outcome, refusal.code);
     }
@@ -196,7 +196,7 @@
             outcome,
             reason,
         };
-        self.metrics.ended(took, first, labels);
+        self.metrics.record_end(took, first, labels);
     }
 
     /// Logs the end of an endpoint's answer; `reason` says whether the answer was complete.
@@ -213,7 +213,7 @@
         refusal: Option<&Refusal>,
     ) {
         let retry_after = refusal.and_then(|r| r.retry_after);
-        let basis = refusal.and_then(|r| r.basis);
+        let estimate = refusal.and_then(|r| r.estimate);
         let crash_fingerprint = self.fingerprint.filter(|_| reason == BROKE_OFF);
         self.is_logged = true;
         let service = text(self.service.as_ref());
@@ -242,8 +242,8 @@
             outcome,
             reason,
             retry_after_ms = retry_after.map(millis),
-            expected_ms = basis.map(|b| b.wait_ms),
-            epoch = basis.map(|b| b.epoch.0),
+            expected_ms = estimate.map(|b| b.wait_ms),
+            epoch = estimate.map(|b| b.epoch.0),
         );
     }
 
--- a/components/node/src/frontend/admit.rs
+++ b/components/node/src/frontend/admit.rs
@@ -5,10 +5,10 @@
 use super::listen::{Frontend, BODY_UNIT_BYTES};
 use super::refusal::Refusal;
 use super::upstream::Call;
-use crate::interface::Asked;
+use crate::interface::Inbound;
 use crate::shared::Published;
 use bytes::{Bytes, BytesMut};
-use coordination::intake::Intake;
+use coordination::admission::Admission;
 use http_body_util::BodyExt;
 use hyper::body::{Body as _, Incoming};
 use hyper::header::{HeaderValue, CONTENT_LENGTH, HOST, TRANSFER_ENCODING};
@@ -41,18 +41,18 @@
     published: &Published,
     head: &Parts,
     entry: &mut Entry,
-) -> Result<Asked, Refusal> {
-    let asked = (frontend.context.interface.ask)(head);
-    if let Ok(asked) = &asked {
+) -> Result<Inbound, Refusal> {
+    let inbound = (frontend.context.interface.parse_request)(head);
+    if let Ok(inbound) = &inbound {
         // Set before any check, so that the log line of a refused request has the caller's
         // identity.
-        entry.set_identity(asked.identity.clone());
+        entry.set_identity(inbound.identity.clone());
     }
     check_ready(published)?;
     check_lateness(frontend, entry.id())?;
     check_framing(head)?;
     check_size(head, frontend.context.callers.head_max)?;
-    asked.map_err(|reason| Refusal::not_run(StatusCode::BAD_REQUEST, "bad-head", reason))
+    inbound.map_err(|reason| Refusal::not_run(StatusCode::BAD_REQUEST, "bad-head", reason))
 }
 
 /// Refuses a request while this router is stopping or has no configuration yet.
@@ -79,7 +79,7 @@
 /// requests in the router were delayed. Callers that are refused at once retry at another
 /// router, and the processor time remains for the admitted requests.
 fn check_lateness(frontend: &Frontend, id: RequestId) -> Result<(), Refusal> {
-    if frontend.context.lateness.request() == Intake::Take {
+    if frontend.context.lateness.admit_request() == Admission::Admit {
         return Ok(());
     }
     let text = "this router is overloaded; another router may have capacity";
@@ -96,7 +96,7 @@
 /// Without this check, the key would work long after operators were told that it is revoked.
 pub(super) fn check_proof_age(frontend: &Frontend, published: &Published) -> Result<(), Refusal> {
     let now = frontend.context.clock.now();
-    let age = published.proof.map_or(u64::MAX, |at| now.since(at));
+    let age = published.verified_at.map_or(u64::MAX, |at| now.since(at));
     match frontend.context.max_proof_age_ms {
         Some(bound) if age > bound => {
             let text =
--- a/components/node/src/frontend/claim.rs
+++ b/components/node/src/frontend/claim.rs
@@ -4,15 +4,15 @@
 use super::refusal::{set_header, Refusal, OUTCOME_HEADER};
 use super::upstream::Call;
 use crate::input::Input;
-use crate::interface::IDENTITY;
+use crate::interface::REQUEST_ID;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Response, StatusCode};
 use protocol::wire::{Query, Reply};
-use state::event::{Event, Step};
+use state::event::{Event, Kind};
 use state::id::{CustomerId, RequestId};
 use state::outcome::Outcome;
-use state::record::{Answer, Known, Stored};
+use state::record::{Answer, Resolution, Stored};
 use state::secret::Hash;
 use std::sync::Arc;
 use std::time::Duration;
@@ -85,12 +85,12 @@
     let (sender, mut receiver) = oneshot::channel();
     let _ = frontend.context.reactor.send(Input::Query(query, sender));
     match tokio::time::timeout(wait, &mut receiver).await {
-        Ok(Ok(Reply::Answer(Answer::Fresh))) => {
-            let event = Event::new(Step::Claimed).request(call.id);
+        Ok(Ok(Reply::Answer(Answer::Claimed))) => {
+            let event = Event::new(Kind::Claimed).request(call.id);
             frontend.context.journal.note(event.customer(customer));
             Ok(Claimed::New(claim))
         }
-        Ok(Ok(Reply::Answer(Answer::Taken(first, known)))) => {
+        Ok(Ok(Reply::Answer(Answer::AlreadyClaimed(first, resolution)))) => {
             claim.is_settled = true;
             if first != fingerprint {
                 let text = "this Idempotency-Key was used for another request";
@@ -101,7 +101,7 @@
                     text,
                 ));
             }
-            answer_resend(call.id, known)
+            answer_resend(call.id, resolution)
         }
         _ => {
             // The claim may still be accepted later, so the key is freed only after the
@@ -120,21 +120,21 @@
 }
 
 /// Answers a resend by what is known of the first request with its key.
-fn answer_resend(id: RequestId, known: Known) -> Result<Claimed, Refusal> {
+fn answer_resend(id: RequestId, resolution: Resolution) -> Result<Claimed, Refusal> {
     let conflict = |text: &str| {
         Refusal::unknown(StatusCode::CONFLICT, "idempotency-key-taken", text).with_retry_after_s(1)
     };
-    match known {
-        Known::Open => Err(conflict(
+    match resolution {
+        Resolution::Pending => Err(conflict(
             "the first request with this key is still in progress",
         )),
-        Known::Unknown => Err(conflict(
+        Resolution::Unknown => Err(conflict(
             "it is unknown whether the first request with this key has run",
         )),
-        Known::Answered(Stored { body: None, .. }) => Err(conflict(
+        Resolution::Answered(Stored { body: None, .. }) => Err(conflict(
             "the first request with this key was answered, but the answer was too long to store",
         )),
-        Known::Answered(Stored {
+        Resolution::Answered(Stored {
             status,
             content_type,
             body: Some(body),
@@ -144,7 +144,7 @@
             let headers = response.headers_mut();
             set_header(headers, "content-type", &content_type);
             set_header(headers, OUTCOME_HEADER, Outcome::Answered.as_str());
-            set_header(headers, IDENTITY, &id.to_string());
+            set_header(headers, REQUEST_ID, &id.to_string());
             set_header(headers, "cowslipford-replayed", "yes");
             Ok(Claimed::Earlier(Box::new(response)))
         }
@@ -173,7 +173,7 @@
         tokio::spawn(async move {
             if let Ok(body) = body_end.await {
                 self.is_settled = true;
-                self.settle(Some(Known::Answered(Stored {
+                self.settle(Some(Resolution::Answered(Stored {
                     status,
                     content_type,
                     body,
@@ -183,11 +183,11 @@
     }
 
     /// Reports the outcome to the control VMs; `None` frees the key.
-    fn settle(&self, known: Option<Known>) {
+    fn settle(&self, resolution: Option<Resolution>) {
         let query = Query::Settle {
             key: self.key,
             request: self.request,
-            known,
+            known: resolution,
         };
         let (sender, receiver) = oneshot::channel();
         let _ = self
@@ -203,7 +203,7 @@
 impl Drop for Claim {
     fn drop(&mut self) {
         if !self.is_settled {
-            self.settle(self.may_have_run.then_some(Known::Unknown));
+            self.settle(self.may_have_run.then_some(Resolution::Unknown));
         }
     }
 }
--- a/components/node/src/frontend/connections.rs
+++ b/components/node/src/frontend/connections.rs
@@ -3,7 +3,7 @@
 //! An idle connection is closed to make room for a new one; a connection whose caller does not
 //! read an answer is closed once the answer's deadline is past.
 
-use coordination::rest::{Guest, Rests};
+use coordination::idle::{Key, Tracker};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -18,11 +18,11 @@
 #[derive(Default)]
 struct Table {
     /// Since when each connection has been idle.
-    idle_times: Rests,
+    idle_times: Tracker,
     /// Signals that ask each connection to close.
-    signals: HashMap<Guest, Arc<Signals>>,
+    signals: HashMap<Key, Arc<Signals>>,
     /// Deadlines of the answers that are being relayed.
-    answer_deadlines: HashMap<Guest, Instant>,
+    answer_deadlines: HashMap<Key, Instant>,
 }
 
 /// Signals that ask one connection to close.
@@ -43,14 +43,14 @@
 /// Entry of one connection in the registry, removed when dropped.
 pub(super) struct Registration {
     registry: Arc<Registry>,
-    id: Guest,
+    id: Key,
     signals: Arc<Signals>,
 }
 
 /// Marks a connection as busy with a request; when dropped, the request has ended.
 pub(super) struct Activity {
     registry: Arc<Registry>,
-    id: Guest,
+    id: Key,
 }
 
 impl Registry {
@@ -79,7 +79,7 @@
     /// idle for long enough.
     pub(super) fn make_room(&self) -> bool {
         let mut table = self.table();
-        let Some(id) = table.idle_times.take_longest(self.clock.now()) else {
+        let Some(id) = table.idle_times.take_longest_idle(self.clock.now()) else {
             return false;
         };
         if let Some(signals) = table.signals.get(&id) {
--- a/components/node/src/frontend/delivery.rs
+++ b/components/node/src/frontend/delivery.rs
@@ -10,7 +10,7 @@
 use state::clock::Stamp;
 use state::fingerprint::Fingerprint;
 use state::id::CustomerId;
-use state::suspect::{Clearance, Crash, Successes};
+use state::suspect::{Completion, Crash, Successes};
 use std::sync::{Arc, MutexGuard, PoisonError};
 
 /// A delivery of one request to one endpoint, in progress.
@@ -44,7 +44,7 @@
             sent: self.sent_at,
             at: self.frontend.context.clock.stamp(),
         };
-        if self.frontend.successes().exonerate(&crash) {
+        if self.frontend.successes().rules_out(&crash) {
             return;
         }
         // Sending fails only at the end of this process.
@@ -53,17 +53,17 @@
 
     /// Reports that the endpoint has answered completely, and not with a server error.
     pub(crate) fn report_success(&self) {
-        let clearance = Clearance {
+        let completion = Completion {
             fingerprint: self.fingerprint,
             at: self.frontend.context.clock.stamp(),
         };
-        self.frontend.successes().answered(&clearance);
+        self.frontend.successes().record(&completion);
         if !self
             .frontend
             .context
             .verdicts
             .borrow()
-            .knows(&self.fingerprint)
+            .contains(&self.fingerprint)
         {
             return;
         }
@@ -71,7 +71,7 @@
             .frontend
             .context
             .reactor
-            .send(Input::Cleared(clearance));
+            .send(Input::Cleared(completion));
     }
 }
 
--- a/components/node/src/frontend/listen.rs
+++ b/components/node/src/frontend/listen.rs
@@ -9,13 +9,13 @@
 use crate::input::Input;
 use crate::interface::Interface;
 use crate::journal::Journal;
-use crate::metric::{value, Metrics};
-use crate::quarantine::Verdicts;
-use crate::shared::{raised, Published};
-use crate::vitals::{Lateness, PROBE};
+use crate::metric::{gauge_value, Metrics};
+use crate::monitor::{Lateness, PROBE_INTERVAL};
+use crate::quarantine::Suspicions;
+use crate::shared::{cancelled, Published};
+use coordination::admission::Admission;
 use coordination::budget::Budget;
-use coordination::intake::Intake;
-use coordination::limit::Ceiling;
+use coordination::limit::Window;
 use coordination::retry;
 use http_body_util::BodyExt;
 use hyper::service::service_fn;
@@ -81,7 +81,7 @@
     /// Configuration and state that the reactor publishes.
     pub(crate) published: watch::Receiver<Published>,
     /// Requests that may crash endpoints, and which of them are in quarantine.
-    pub(crate) verdicts: watch::Receiver<Arc<Verdicts>>,
+    pub(crate) verdicts: watch::Receiver<Arc<Suspicions>>,
 }
 
 /// HTTP server for callers: state that all connections and requests share.
@@ -102,7 +102,7 @@
     /// Open connections of callers, and which of them are idle.
     registry: Arc<Registry>,
     /// Rate limit of log lines for requests that are refused while tasks run late.
-    busy_lines: Mutex<Ceiling>,
+    busy_lines: Mutex<Window>,
     /// Requests that were completely answered not long ago.
     pub(super) successes: Mutex<Successes>,
 }
@@ -117,9 +117,9 @@
             body_memory: Arc::new(Semaphore::new(units)),
             body_units: units,
             connection_permits: Arc::new(Semaphore::new(context.budget.connections)),
-            busy_lines: Mutex::new(Ceiling::new(MAX_BUSY_LINES_PER_S)),
+            busy_lines: Mutex::new(Window::new(MAX_BUSY_LINES_PER_S)),
             successes: Mutex::default(),
-            pool: Arc::new(Pool::new(context.budget.kept)),
+            pool: Arc::new(Pool::new(context.budget.idle_connections)),
             registry: Registry::new(context.clock.clone()),
             context,
             next_request: AtomicU64::new(0),
@@ -171,7 +171,7 @@
         loop {
             tokio::select! {
                 _ = interval.tick() => {}
-                () = raised(&mut stop) => return,
+                () = cancelled(&mut stop) => return,
             }
             let view = self.context.published.borrow().view.clone();
             let is_live = |(id, address): &Key| {
@@ -191,11 +191,13 @@
     /// Updates the gauges of pooled connections, memory for bodies and the reactor's queue.
     fn update_gauges(&self) {
         let metrics = &self.context.metrics;
-        metrics.kept.set(value(self.pool.len()));
+        metrics.idle_connections.set(gauge_value(self.pool.len()));
         let free = self.body_memory.available_permits();
         let taken = self.body_units.saturating_sub(free) * BODY_UNIT_BYTES;
-        metrics.body_bytes.set(value(taken));
-        metrics.inputs.set(value(self.context.reactor.len()));
+        metrics.body_bytes.set(gauge_value(taken));
+        metrics
+            .queued_inputs
+            .set(gauge_value(self.context.reactor.len()));
     }
 
     /// Accepts the next connection. While tasks run late, connections are closed unread until one
@@ -203,15 +205,15 @@
     async fn accept_next(&self, listener: &TcpListener) -> TcpStream {
         loop {
             if !self.context.lateness.may_accept() {
-                tokio::time::sleep(PROBE).await;
+                tokio::time::sleep(PROBE_INTERVAL).await;
                 continue;
             }
             let stream = accept(listener).await;
-            if self.context.lateness.connection() == Intake::Take {
+            if self.context.lateness.admit_connection() == Admission::Admit {
                 return stream;
             }
             // The connection's task would only run after all tasks that are already late.
-            self.context.metrics.turned_away.inc();
+            self.context.metrics.closed_unread.inc();
         }
     }
 
@@ -243,11 +245,11 @@
             let stream = tokio::select! {
                 stream = self.accept_next(&listener) => stream,
                 Some(_) = tasks.join_next() => continue,
-                () = raised(&mut stop) => break,
+                () = cancelled(&mut stop) => break,
             };
             let Some(permit) = self.permit().await else {
                 // A connection above the bound is closed at once, which costs almost nothing.
-                self.context.metrics.turned_away.inc();
+                self.context.metrics.closed_unread.inc();
                 continue;
             };
             let (frontend, stop) = (self.clone(), stop.clone());
@@ -265,7 +267,7 @@
         // Small events of a streamed answer are sent without delay.
         let _ = stream.set_nodelay(true);
         self.context.metrics.connections.inc();
-        self.context.metrics.accepted.inc();
+        self.context.metrics.accepted_connections.inc();
         let registration = Arc::new(self.registry.open());
         let (frontend, shared) = (self.clone(), registration.clone());
         let service = service_fn(move |request| {
@@ -292,7 +294,7 @@
         tokio::pin!(connection);
         let ended = tokio::select! {
             ended = connection.as_mut() => Some(ended),
-            () = raised(&mut stop) => None,
+            () = cancelled(&mut stop) => None,
             () = Registration::until_idle_close(&registration) => None,
             () = Registration::until_unread_close(&registration) => Some(Ok(())),
         };
--- a/components/node/src/frontend/plan.rs
+++ b/components/node/src/frontend/plan.rs
@@ -5,13 +5,13 @@
 use super::listen::Frontend;
 use super::refusal::Refusal;
 use super::upstream::Call;
-use crate::interface::Asked;
+use crate::interface::Inbound;
 use crate::shared::Published;
 use bytes::Bytes;
-use coordination::ask::Class;
 use coordination::dispatcher::Arrival;
-use coordination::homes::Homes;
+use coordination::messages::Class;
 use coordination::prompt::Prompt;
+use coordination::regions::Regions;
 use coordination::rule;
 use hyper::{HeaderMap, StatusCode, Uri};
 use state::config::{Config, Cost, Customer, Engine, Rule, Service, Then};
@@ -64,17 +64,17 @@
 pub(super) fn plan(
     frontend: &Frontend,
     published: &Published,
-    asked: &Asked,
+    inbound: &Inbound,
     call: &mut Call,
 ) -> Result<Plan, Refusal> {
     let config = &published.view.config;
-    let key = asked.key.as_ref();
+    let key = inbound.key.as_ref();
     let id = key.and_then(|k| published.index.customer(k));
     let customer = id.and_then(|id| Some((id, config.customers.get(&id)?)));
     let decided = match_rule(
         frontend,
         published,
-        asked,
+        inbound,
         call,
         customer.map(|(_, c)| &c.name),
     );
@@ -93,7 +93,7 @@
     if customer.is_some() {
         check_proof_age(frontend, published)?;
     }
-    let service = send.service(rand::random()).ok_or_else(no_endpoint)?;
+    let service = send.pick_service(rand::random()).ok_or_else(no_endpoint)?;
     if let Some((_, customer)) = customer {
         check_service(customer, service)?;
         call.customer = Some(customer.name.clone());
@@ -102,15 +102,16 @@
     let found = found.and_then(|id| Some((id, config.services.get(&id)?)));
     let (service_id, settings) = found.ok_or_else(no_endpoint)?;
     let timeout = Duration::from_millis(send.timeout_ms.unwrap_or(settings.timeout_ms));
-    let timeout = asked.patience.map_or(timeout, |p| p.min(timeout));
-    let prompt = prompt_of(asked, settings, call);
+    let timeout = inbound.timeout.map_or(timeout, |p| p.min(timeout));
+    let prompt = prompt_of(inbound, settings, call);
     let class = Class {
         customer: customer.map_or(ANONYMOUS_CUSTOMER, |(id, _)| id),
         rule: rule_index,
     };
-    let homes = Homes::of(&send.regions);
-    let homes = homes.and(customer.map_or(Homes::default(), |(_, c)| Homes::of(&c.regions)));
-    if homes.is_empty() {
+    let regions = Regions::named(&send.regions);
+    let regions = regions
+        .intersection(customer.map_or(Regions::default(), |(_, c)| Regions::named(&c.regions)));
+    if regions.is_empty() {
         return Err(no_endpoint());
     }
     let now = frontend.context.clock.now();
@@ -127,10 +128,10 @@
             .limits
             .queue
             .unwrap_or(frontend.context.customer_queue_limit),
-        hint: expected_cost(asked, settings, &prompt),
+        hint: expected_cost(inbound, settings, &prompt),
         prompt,
         bytes: call.body.len() as u64,
-        homes,
+        regions,
         aim: now.after(send.aim_ms.unwrap_or(millis(timeout))),
         deadline: now.after(millis(timeout)),
     };
@@ -142,7 +143,7 @@
         cost: settings.cost,
         engine: settings.engine,
         timeout,
-        idempotent: rule::idempotent(send.idempotent, settings, call.method.as_str()),
+        idempotent: rule::is_idempotent(send.idempotent, settings, call.method.as_str()),
         retries: send.retries.unwrap_or(DEFAULT_RETRIES),
         arrival,
     })
@@ -164,7 +165,7 @@
 fn match_rule<'a>(
     frontend: &Frontend,
     published: &'a Published,
-    asked: &Asked,
+    inbound: &Inbound,
     call: &Call,
     customer: Option<&Name>,
 ) -> Result<(u16, &'a Rule), Refusal> {
@@ -175,16 +176,16 @@
     let host = host(&call.headers, &call.uri);
     let request = rule::Request {
         customer,
-        service: asked.service.as_deref(),
+        service: inbound.service.as_deref(),
         method: call.method.as_str(),
         host: host.as_deref(),
         path: call.uri.path(),
         headers: &headers,
         data_centre: &frontend.context.data_centre,
         // CAST: `usize` is at most 64 bits on every supported target.
-        size: asked.size.map_or(call.body.len() as u64, u64::from),
+        size: inbound.size.map_or(call.body.len() as u64, u64::from),
     };
-    let found = rule::decide(&config.rules, published.index.routes(), &request);
+    let found = rule::first_match(&config.rules, published.index.routes(), &request);
     found.ok_or_else(|| {
         if customer.is_none() && config.rules.iter().any(names_customers) {
             return unknown_customer();
@@ -223,10 +224,10 @@
 }
 
 /// Expected cost of the request, in units of the service.
-fn expected_cost(asked: &Asked, service: &Service, prompt: &Prompt) -> u32 {
+fn expected_cost(inbound: &Inbound, service: &Service, prompt: &Prompt) -> u32 {
     match service.cost {
         Cost::Request => 1,
-        Cost::Event | Cost::Time => asked.size.unwrap_or(service.estimate).max(1),
+        Cost::Event | Cost::Time => inbound.size.unwrap_or(service.estimate).max(1),
         Cost::Token => token_cost(prompt, prompt.output),
     }
 }
@@ -239,11 +240,11 @@
 
 /// Description of the prompt for placement. If the caller sends none, the prefix is the hash of the
 /// start of the body.
-fn prompt_of(asked: &Asked, service: &Service, call: &Call) -> Prompt {
-    if asked.prompt.first() == 0 {
-        return Prompt::of_prefix(prefix_hash(&call.body));
+fn prompt_of(inbound: &Inbound, service: &Service, call: &Call) -> Prompt {
+    if inbound.prompt.first_key() == 0 {
+        return Prompt::from_prefix_key(prefix_hash(&call.body));
     }
-    let mut prompt = asked.prompt;
+    let mut prompt = inbound.prompt;
     if prompt.output == 0 && service.engine.is_some() {
         prompt.output = DEFAULT_OUTPUT_TOKENS;
     }
--- a/components/node/src/frontend/refusal.rs
+++ b/components/node/src/frontend/refusal.rs
@@ -1,8 +1,8 @@
 //! Refusals: answers that the router gives itself, in place of an endpoint.
 
-use crate::interface::{Interface, IDENTITY};
+use crate::interface::{Interface, REQUEST_ID};
 use bytes::Bytes;
-use coordination::ask;
+use coordination::messages;
 use http_body_util::Full;
 use hyper::header::{HeaderName, HeaderValue, CONTENT_TYPE};
 use hyper::{Response, StatusCode};
@@ -26,7 +26,7 @@
     /// Time after which the caller should retry.
     pub(crate) retry_after: Option<Duration>,
     /// The scheduler's refusal with the estimate behind it, if a scheduler refused the request.
-    pub(crate) basis: Option<ask::Refusal>,
+    pub(crate) estimate: Option<messages::Refusal>,
 }
 
 impl Refusal {
@@ -41,7 +41,7 @@
             message: message.into(),
             outcome: Outcome::NotRun,
             retry_after: None,
-            basis: None,
+            estimate: None,
         }
     }
 
@@ -76,14 +76,14 @@
             "request": id.to_string(),
         });
         let mut response = Response::new(Full::new(Bytes::from(format!("{body}\n"))));
-        *response.status_mut() = (interface.status)(self.status, self.outcome);
+        *response.status_mut() = (interface.map_status)(self.status, self.outcome);
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         headers.insert(
             OUTCOME_HEADER,
             HeaderValue::from_static(self.outcome.as_str()),
         );
-        set_header(headers, IDENTITY, &id.to_string());
+        set_header(headers, REQUEST_ID, &id.to_string());
         if let Some(time) = self.retry_after {
             // Whole seconds have no decimals, since not every caller parses fractions.
             let text = match time.subsec_millis() {
--- a/components/node/src/frontend/serve.rs
+++ b/components/node/src/frontend/serve.rs
@@ -11,17 +11,17 @@
 use super::relay::{Meter, Origin, Relay, Replay, Slot};
 use super::upstream::{self, Answer, Call, Failure};
 use crate::input::{Decided, Decision, Dispatch, Input};
-use crate::interface::IDENTITY;
+use crate::interface::REQUEST_ID;
 use crate::shared::Published;
 use bytes::Bytes;
-use coordination::ask::Verdict;
-use coordination::dispatcher::{Full as QueueFull, Handle};
-use coordination::retry::{self, Next, Reach, Try};
+use coordination::dispatcher::{Handle, Rejection as QueueFull};
+use coordination::messages::Verdict;
+use coordination::retry::{self, Action, Reach};
 use http_body_util::{Either, Full};
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONNECTION, CONTENT_TYPE};
 use hyper::{Request, Response, StatusCode};
-use state::event::{Event, Step};
+use state::event::{Event, Kind};
 use state::id::RequestId;
 use state::outcome::Outcome;
 use std::sync::atomic::Ordering;
@@ -80,7 +80,7 @@
         Err(refusal) => {
             count_answer(&frontend, refusal.outcome, refusal.status);
             if frontend.should_log(&refusal) {
-                let event = Event::new(Step::Refused).request(id);
+                let event = Event::new(Kind::Refused).request(id);
                 frontend.context.journal.note(event);
                 entry.log_refusal(&refusal);
             } else {
@@ -111,8 +111,11 @@
     is_busy: bool,
     is_refused: bool,
 ) -> Reply {
-    let is_scarce = frontend.context.budget.is_scarce(frontend.connections());
-    let is_elsewhere = is_refused && frontend.context.lateness.is_passed_over();
+    let is_scarce = frontend
+        .context
+        .budget
+        .is_nearly_full(frontend.connections());
+    let is_elsewhere = is_refused && frontend.context.lateness.is_bypassed();
     let published = frontend.context.published.borrow();
     if is_scarce || is_busy || is_elsewhere || published.is_dedicated || published.stopping {
         let close = HeaderValue::from_static("close");
@@ -138,8 +141,8 @@
     began: Instant,
 ) -> Result<Served, Refusal> {
     let (head, body) = request.into_parts();
-    let asked = match admit(frontend, published, &head, entry) {
-        Ok(asked) => asked,
+    let inbound = match admit(frontend, published, &head, entry) {
+        Ok(inbound) => inbound,
         Err(refusal) => {
             discard_body(body, frontend.context.callers.body_max).await;
             return Err(refusal);
@@ -149,11 +152,11 @@
     frontend
         .context
         .journal
-        .note(Event::new(Step::Taken).request(id));
-    let mut call = read_body(frontend, id, asked.identity.clone(), head, body).await?;
-    let plan = plan(frontend, published, &asked, &mut call)?;
+        .note(Event::new(Kind::Taken).request(id));
+    let mut call = read_body(frontend, id, inbound.identity.clone(), head, body).await?;
+    let plan = plan(frontend, published, &inbound, &mut call)?;
     entry.set_plan(&plan, call.customer.clone());
-    let event = Event::new(Step::Taken).request(id);
+    let event = Event::new(Kind::Taken).request(id);
     frontend.context.journal.note(event.customer(plan.customer));
     let key = call.headers.get("idempotency-key").cloned();
     let mut claimed = None;
@@ -181,9 +184,9 @@
 impl Drop for Waiting {
     fn drop(&mut self) {
         if let Some(handle) = self.handle {
-            let event = Event::new(Step::CallerGone).request(self.id);
+            let event = Event::new(Kind::CallerGone).request(self.id);
             self.frontend.context.journal.note(event);
-            let _ = self.frontend.context.reactor.send(Input::Leave(handle));
+            let _ = self.frontend.context.reactor.send(Input::Cancel(handle));
         }
     }
 }
@@ -217,7 +220,7 @@
             handle,
             id: call.id,
             meter: Meter::new(plan.cost, plan.arrival.prompt, plan.engine),
-            verdict: Verdict::Gone,
+            verdict: Verdict::Cancelled,
             is_armed: true,
             reactor: frontend.context.reactor.clone(),
             journal: frontend.context.journal.clone(),
@@ -235,7 +238,7 @@
         let sent = tokio::time::timeout(remaining, upstream::send(&call, &dispatch, options)).await;
         let backoff = match &sent {
             Ok(Ok(answer)) => answer.backoff,
-            Ok(Err(failed)) => failed.backoff,
+            Ok(Err(failure)) => failure.backoff,
             Err(_) => None,
         };
         if let Some(backoff) = backoff {
@@ -245,7 +248,7 @@
                 .reactor
                 .send(Input::Backoff(handle, backoff));
         }
-        let failed = match sent {
+        let failure = match sent {
             Ok(Ok(answer)) => match frontend.retriable_failure(plan, retries, answer) {
                 Ok(answer) => {
                     let answering = (answer, delivery);
@@ -253,9 +256,9 @@
                         frontend, answering, slot, claim, dispatch, plan, began,
                     ));
                 }
-                Err(failed) => failed,
+                Err(failure) => failure,
             },
-            Ok(Err(failed)) => failed,
+            Ok(Err(failure)) => failure,
             Err(_) => {
                 // The endpoint is blamed only if it had at least half of the time; the rest
                 // may have passed in the queue.
@@ -269,33 +272,34 @@
                 );
             }
         };
-        if failed.broke_off {
+        if failure.broke_off {
             delivery.report_break();
         }
-        if let (Some(claim), Reach::Nothing) = (&mut claim, failed.reach) {
+        if let (Some(claim), Reach::Nothing) = (&mut claim, failure.reach) {
             claim.mark_unsent();
         }
-        if failed.unconnected && unconnected_tries < MAX_UNCONNECTED_TRIES {
+        if failure.unconnected && unconnected_tries < MAX_UNCONNECTED_TRIES {
             // Nothing was sent, so this costs no endpoint any work.
-            entry.log_failure(&failed, "elsewhere");
-            slot.verdict = failed.verdict;
+            entry.log_failure(&failure, "elsewhere");
+            slot.verdict = failure.verdict;
             decided = requeue(frontend, slot).await?;
             unconnected_tries += 1;
             continue;
         }
-        let attempt = Try {
-            reach: failed.reach,
+        let attempt = retry::Failure {
+            reach: failure.reach,
             idempotent: plan.idempotent,
             retries,
             retries_max: plan.retries,
             deadline: plan.arrival.deadline,
         };
         let now = frontend.context.clock.now();
-        let next = frontend.with_budget(plan.service, |budget| retry::after(attempt, now, budget));
-        entry.log_failure(&failed, next.as_str());
-        slot.verdict = failed.verdict;
-        if next != Next::Again {
-            return Err(give_up(next, &dispatch, &failed));
+        let action =
+            frontend.with_budget(plan.service, |budget| retry::decide(attempt, now, budget));
+        entry.log_failure(&failure, action.as_str());
+        slot.verdict = failure.verdict;
+        if action != Action::Retry {
+            return Err(give_up(action, &dispatch, &failure));
         }
         decided = requeue(frontend, slot).await?;
         retries += 1;
@@ -313,10 +317,10 @@
 ) {
     let step = if retries == 0 {
         let waited = began.elapsed().as_secs_f64();
-        frontend.context.metrics.wait.observe(waited);
-        Step::Sent
+        frontend.context.metrics.queue_wait.observe(waited);
+        Kind::Sent
     } else {
-        Step::Retried
+        Kind::Retried
     };
     let event = Event::new(step).request(call.id).service(plan.service);
     frontend
@@ -410,7 +414,7 @@
     frontend
         .context
         .journal
-        .note(Event::new(Step::Queued).request(call.id));
+        .note(Event::new(Kind::Queued).request(call.id));
     let decision = tokio::select! {
         biased;
         () = frontend.until_quarantined(call) => return Err(quarantined()),
@@ -419,7 +423,7 @@
     waiting.handle = None;
     match decision {
         Ok(Decision::Dispatch(dispatch)) => {
-            let event = Event::new(Step::Granted).request(call.id);
+            let event = Event::new(Kind::Granted).request(call.id);
             frontend
                 .context
                 .journal
@@ -430,10 +434,10 @@
             let retry_after = Duration::from_millis(u64::from(refused.after_ms));
             let mut refusal = unserved("overloaded", OVERLOADED_TEXT, retries, idempotent)
                 .with_retry_after(retry_after);
-            refusal.basis = Some(refused);
+            refusal.estimate = Some(refused);
             Err(refusal)
         }
-        Ok(Decision::Unserved) => {
+        Ok(Decision::NoEndpoint) => {
             let refusal = unserved("no-endpoint", NO_ENDPOINT_TEXT, retries, idempotent);
             Err(refusal.with_retry_after(NO_ENDPOINT_RETRY_AFTER))
         }
@@ -457,7 +461,7 @@
 /// Queues a request again after a failed try, and releases its slot.
 async fn requeue(frontend: &Frontend, slot: Slot) -> Result<Decided, Refusal> {
     let (sender, receiver) = oneshot::channel();
-    let requeue = Input::Again(slot.handle, slot.verdict, sender);
+    let requeue = Input::Requeue(slot.handle, slot.verdict, sender);
     // The dispatcher releases the slot when it takes this input, so dropping `slot` must not.
     slot.disarm();
     let _ = frontend.context.reactor.send(requeue);
@@ -465,19 +469,19 @@
 }
 
 /// Refusal of a request that is not retried after a failed try.
-fn give_up(next: Next, dispatch: &Dispatch, failed: &Failure) -> Refusal {
+fn give_up(action: Action, dispatch: &Dispatch, failure: &Failure) -> Refusal {
     let status = StatusCode::BAD_GATEWAY;
-    let text = format!("{}: {}", dispatch.name, failed.error);
-    match next {
-        Next::NotRun if failed.backoff.is_some() => {
+    let text = format!("{}: {}", dispatch.name, failure.error);
+    match action {
+        Action::NotRun if failure.backoff.is_some() => {
             // The caller's retry goes to another endpoint.
             let retry_after = OTHER_ROUTER_RETRY_AFTER * rand::random_range(1..=3);
             Refusal::not_run(status, "endpoint-backoff", text).with_retry_after(retry_after)
         }
-        Next::NotRun => {
+        Action::NotRun => {
             Refusal::not_run(status, "endpoint-unreachable", text).with_retry_after_s(1)
         }
-        Next::Unknown | Next::Again => Refusal::unknown(status, "endpoint-failed", text),
+        Action::Unknown | Action::Retry => Refusal::unknown(status, "endpoint-failed", text),
     }
 }
 
@@ -499,7 +503,7 @@
         OUTCOME_HEADER,
         Outcome::Answered.as_str(),
     );
-    set_header(&mut head.headers, IDENTITY, &slot.id.to_string());
+    set_header(&mut head.headers, REQUEST_ID, &slot.id.to_string());
     count_answer(frontend, Outcome::Answered, head.status);
     let replay = claim.map(|claim| {
         let (done, ended) = oneshot::channel();
--- a/components/node/src/frontend/upstream.rs
+++ b/components/node/src/frontend/upstream.rs
@@ -6,10 +6,10 @@
 use super::pool::{self, Connection, Pool};
 use super::refusal::set_header;
 use crate::input::Dispatch;
-use crate::interface::{Answered, Interface, Onward};
+use crate::interface::{Interface, Outbound, Signals};
 use bytes::Bytes;
-use coordination::ask::Verdict;
 use coordination::backoff::Backoff;
+use coordination::messages::Verdict;
 use coordination::retry::Reach;
 use errors::{Error, Result};
 use http_body_util::Full;
@@ -151,7 +151,7 @@
 fn no_connection(error: Error) -> Failure {
     let verdict = match error {
         Error::Peer { .. } => Verdict::Failed,
-        _ => Verdict::Gone,
+        _ => Verdict::Cancelled,
     };
     Failure {
         unconnected: true,
@@ -169,15 +169,17 @@
     connection: Connection,
 ) -> Result<Answer, Failure> {
     let (head, body) = response.into_parts();
-    let Answered {
+    let Signals {
         identity,
         not_run,
-        is_sound,
+        is_authentic,
         is_leaving,
-        rest,
-    } = (interface.answer)(&head);
-    let rest = rest.map(|time| Backoff::resting(to.endpoint, time));
-    let backoff = is_leaving.then(|| Backoff::leaving(to.endpoint)).or(rest);
+        retry_after,
+    } = (interface.parse_response)(&head);
+    let retry_after = retry_after.map(|time| Backoff::pausing(to.endpoint, time));
+    let backoff = is_leaving
+        .then(|| Backoff::leaving(to.endpoint))
+        .or(retry_after);
     let bad_answer = |reason: &str| Error::Peer {
         step: "read an answer",
         peer: to.address.to_string(),
@@ -200,7 +202,7 @@
     if not_run {
         return Err(Failure {
             // An endpoint that refuses requests because it is full is healthy.
-            verdict: Verdict::Gone,
+            verdict: Verdict::Cancelled,
             backoff,
             ..Failure::new(
                 Reach::Nothing,
@@ -208,7 +210,7 @@
             )
         });
     }
-    if !is_sound {
+    if !is_authentic {
         let error = bad_answer("the answer does not come from the endpoint itself");
         return Err(Failure {
             backoff,
@@ -259,14 +261,14 @@
         strip_hop_by_hop(headers);
         headers.remove(CONTENT_LENGTH);
         headers.remove(EXPECT);
-        let onward = Onward {
+        let outbound = Outbound {
             identity: &self.id.to_string(),
             endpoint: &to.name,
             customer: self.customer.as_ref(),
-            left: remaining,
+            time_left: remaining,
             copy_from: to.copy_from,
         };
-        (interface.pass_on)(headers, &onward);
+        (interface.rewrite_headers)(headers, &outbound);
         if !headers.contains_key(HOST) {
             set_header(headers, "host", &to.address.to_string());
         }
--- a/components/node/src/platform.rs
+++ b/components/node/src/platform.rs
@@ -2,7 +2,7 @@
 
 use crate::fetch::fetch;
 use crate::input::Input;
-use crate::shared::{raised, Published};
+use crate::shared::{cancelled, Published};
 use coordination::platform::{Change, Entry, Watch};
 use errors::{Error, Result};
 use protocol::wire::{Drain, Query};
@@ -32,7 +32,7 @@
     loop {
         tokio::select! {
             _ = period.tick() => {}
-            () = raised(&mut stop) => return,
+            () = cancelled(&mut stop) => return,
         }
         let list = read(&platform).await;
         if list.is_ok() != reachable {
@@ -69,8 +69,8 @@
 
 async fn announce(reactor: &flume::Sender<Input>, view: &View, change: Change) {
     let (id, leaves) = match change {
-        Change::Leaves(id) => (id, true),
-        Change::Back(id) => (id, false),
+        Change::Leaving(id) => (id, true),
+        Change::Returned(id) => (id, false),
     };
     let Some(endpoint) = view.config.endpoints.get(&id) else {
         return;
--- a/components/node/src/shared.rs
+++ b/components/node/src/shared.rs
@@ -1,6 +1,6 @@
 //! What the reactor shows to the other parts of the process.
 
-use coordination::tree::Confirm;
+use coordination::tree::Confirmation;
 use serde::Serialize;
 use state::clock::Millis;
 use state::config::Index;
@@ -28,7 +28,7 @@
     /// Whether far more requests are in progress here than at other routers.
     pub(crate) is_hot: bool,
     /// Latest time at which this view was proved to be the newest.
-    pub(crate) proof: Option<Millis>,
+    pub(crate) verified_at: Option<Millis>,
     /// Routers that share the endpoints, as far as the schedulers tell.
     pub(crate) routers: u32,
 }
@@ -75,7 +75,7 @@
     /// Node that feeds it.
     pub(crate) parent: Option<Name>,
     /// What it and those that it feeds have confirmed.
-    pub(crate) confirmed: Confirm,
+    pub(crate) confirmed: Confirmation,
     /// Peers with a link.
     pub(crate) peers: Vec<Name>,
     /// Requests that wait here, by customer.
@@ -95,6 +95,6 @@
 }
 
 /// Waits until a flag turns true, or nobody is left to turn it.
-pub(crate) async fn raised(flag: &mut watch::Receiver<bool>) {
+pub(crate) async fn cancelled(flag: &mut watch::Receiver<bool>) {
     let _ = flag.wait_for(|raised| *raised).await;
 }
--- a/components/protocol/src/codec.rs
+++ b/components/protocol/src/codec.rs
@@ -1,7 +1,7 @@
 //! Encoding of frames on links, and of values that are stored.
 
 use crate::wire::Frame;
-use coordination::agree::BATCH;
+use coordination::consensus::BATCH_ENTRIES_MAX;
 use errors::{Error, Result};
 use postcard::ser_flavors::Size;
 use serde::de::DeserializeOwned;
@@ -19,7 +19,7 @@
 const MAX_SMALL_RECORD_BYTES: usize = 20 * 1024;
 /// Longest record of the log. One record of this size and a batch of small records fit in one
 /// message.
-pub const MAX_RECORD_BYTES: usize = MAX_BODY_BYTES - BATCH * MAX_SMALL_RECORD_BYTES;
+pub const MAX_RECORD_BYTES: usize = MAX_BODY_BYTES - BATCH_ENTRIES_MAX * MAX_SMALL_RECORD_BYTES;
 
 /// Whether a record of the log, or the query that leads to it, is within [`MAX_RECORD_BYTES`].
 ///
--- a/components/protocol/src/wire.rs
+++ b/components/protocol/src/wire.rs
@@ -2,10 +2,10 @@
 //!
 //! Messages are encoded by position, so the order of fields and variants is part of the protocol.
 
-use coordination::agree::Envelope;
-use coordination::ask::{Grant, Kept, Refusal, Report, Served};
 use coordination::cell;
-use coordination::tree::Confirm;
+use coordination::consensus::Envelope;
+use coordination::messages::{Cached, Grant, Refusal, Report, Served};
+use coordination::tree::Confirmation;
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 use state::clock::Stamp;
@@ -13,10 +13,10 @@
 use state::evacuation::Order;
 use state::id::{CustomerId, EndpointId, Epoch, Name, RequestId, Version};
 use state::listing::{Census, Change, Listing};
-use state::record::{Answer, ChangeId, Known, Release};
+use state::record::{Answer, ChangeId, Release, Resolution};
 use state::secret::Hash;
 use state::suspect::Evidence;
-use state::view::{Place, Shard, Step, View};
+use state::view::{Node, Shard, Step, View};
 use std::net::SocketAddr;
 
 /// First message on a link, in both directions: who the sender is.
@@ -24,7 +24,7 @@
 #[serde(rename_all = "kebab-case")]
 pub struct Hello {
     /// Name of the sender's VM, and the address that the sender accepts links on.
-    pub place: Place,
+    pub place: Node,
     /// Incarnation of the sender: a new number for each start of its process.
     pub incarnation: u64,
     /// Address that the sender listens on for operators.
@@ -77,7 +77,7 @@
         /// Request that claimed the key.
         request: RequestId,
         /// What is known of the outcome; `None` if the request was not run, which frees the key.
-        known: Option<Known>,
+        known: Option<Resolution>,
     },
     /// An operator's order to evacuate a data centre, or to end its evacuation.
     Evacuation(Order),
@@ -105,7 +105,7 @@
     /// Answer of the replicated state machine.
     Answer(Answer),
     /// This control VM is not the leader; the given one may be.
-    NotLeader(Option<Place>),
+    NotLeader(Option<Node>),
     /// The query is invalid, for this reason; nothing was changed.
     Invalid(String),
 }
@@ -139,7 +139,7 @@
     Unsubscribe,
     /// Dissemination: subscribe to this process instead.
     #[serde(rename = "elsewhere")]
-    Redirect(Place),
+    Redirect(Node),
     /// Dissemination: a root of the tree has just confirmed that this version is in force.
     #[serde(rename = "pulse")]
     VersionProof(Version),
@@ -150,7 +150,7 @@
     #[serde(rename = "whole")]
     FullView(Box<View>),
     /// Dissemination: which versions the processes of a subtree have in force.
-    Confirm(Confirm),
+    Confirm(Confirmation),
     /// Dissemination: evidence of a subtree on requests that may crash endpoints.
     Evidence(Evidence),
     /// From a router to the scheduler of this epoch: reports on its requests.
@@ -165,7 +165,7 @@
     /// From a scheduler to the schedulers of the same service in its region: parts of prompts that
     /// its engines have cached.
     #[serde(rename = "kept")]
-    CachedPrompts(Vec<Kept>),
+    CachedPrompts(Vec<Cached>),
     /// The sender is not the scheduler of this epoch, or not yet.
     Unassigned(Epoch),
     /// All endpoints that the platform listed last.
--- a/components/transport/src/disk.rs
+++ b/components/transport/src/disk.rs
@@ -7,10 +7,10 @@
 
 use crate::frame::{self, Read};
 use crate::wal::{self, Item};
-use coordination::agree::{Entry, Hard, Index, Ready, Snapshot, Start, Term};
+use coordination::consensus::{Ballot, Entry, Index, Ready, Recovery, Snapshot, Term};
 use errors::{Error, Result};
 use serde::{Deserialize, Serialize};
-use state::record::{Disk, Members};
+use state::record::{DiskId, Members};
 use std::fs::{self, File, OpenOptions};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
-    identity: Disk,
+    identity: DiskId,
     /// Current generation.
     generation: u64,
     /// Log of the current generation, open for appending.
@@ -56,13 +56,13 @@
     /// # Errors
     ///
     /// When files cannot be read or written, or are damaged.
-    pub fn open(path: &Path, new_identity: Disk) -> Result<(Self, Start)> {
+    pub fn open(path: &Path, new_identity: DiskId) -> Result<(Self, Recovery)> {
         fs::create_dir_all(path).map_err(Error::file("create the data folder", path))?;
         let identity = read_or_create_identity(path, new_identity)?;
         let (generation, start, valid_bytes) = match newest_generation(path)? {
             Some(generation) => read_generation(path, generation)?,
             None => {
-                write_generation(path, 0, &Snapshot::default(), Hard::default(), &[])?;
+                write_generation(path, 0, &Snapshot::default(), Ballot::default(), &[])?;
                 read_generation(path, 0)?
             }
         };
@@ -92,7 +92,7 @@
     }
 
     /// Identity of the disk, created with the folder.
-    pub fn identity(&self) -> Disk {
+    pub fn identity(&self) -> DiskId {
         self.identity
     }
 
@@ -135,15 +135,15 @@
     ///
     /// When writing or syncing fails. The process must end then, since it is unknown what the disk
     /// has stored.
-    pub fn write(&mut self, ready: &Ready, hard: Hard) -> Result<()> {
+    pub fn write(&mut self, ready: &Ready, ballot: Ballot) -> Result<()> {
         if let Some(snapshot) = &ready.install {
-            self.start_generation(snapshot, ready.hard.unwrap_or(hard), &ready.append)?;
+            self.start_generation(snapshot, ready.ballot.unwrap_or(ballot), &ready.append)?;
             return Ok(());
         }
         let mut items = Vec::new();
-        items.extend(ready.cut.map(Item::Truncate));
+        items.extend(ready.truncate_from.map(Item::Truncate));
         items.extend(ready.append.iter().cloned().map(Item::Entry));
-        items.extend(ready.hard.map(Item::HardState));
+        items.extend(ready.ballot.map(Item::Ballot));
         if items.is_empty() {
             return Ok(());
         }
@@ -177,11 +177,11 @@
     pub fn start_generation(
         &mut self,
         snapshot: &Snapshot,
-        hard: Hard,
+        ballot: Ballot,
         tail: &[Entry],
     ) -> Result<()> {
         let next = self.generation + 1;
-        self.log_bytes = write_generation(&self.path, next, snapshot, hard, tail)?;
+        self.log_bytes = write_generation(&self.path, next, snapshot, ballot, tail)?;
         // CAST: `usize` is at most 64 bits on every supported target.
         self.snapshot_bytes = snapshot.bytes.len() as u64;
         self.sync_count += 3;
@@ -210,7 +210,7 @@
 const FIRST_START_FILE: &str = "first-start";
 
 /// Reads the identity of the disk; creates it in a folder without any generation.
-fn read_or_create_identity(path: &Path, new_identity: Disk) -> Result<Disk> {
+fn read_or_create_identity(path: &Path, new_identity: DiskId) -> Result<DiskId> {
     let file = path.join("disk");
     match fs::read(&file) {
         Ok(bytes) => {
@@ -236,13 +236,13 @@
 }
 
 /// Reads a generation; returns its number, its content and the length of its valid log.
-fn read_generation(path: &Path, generation: u64) -> Result<(u64, Start, u64)> {
+fn read_generation(path: &Path, generation: u64) -> Result<(u64, Recovery, u64)> {
     let snapshot = read_snapshot(&snapshot_path(path, generation))?;
     let log = log_path(path, generation);
     let bytes = fs::read(&log).map_err(Error::file("read the log", &log))?;
     let content = wal::decode(&log, &bytes)?;
-    let start = Start {
-        hard: content.hard,
+    let start = Recovery {
+        ballot: content.ballot,
         snapshot,
         entries: content.entries,
     };
@@ -277,7 +277,7 @@
     path: &Path,
     generation: u64,
     snapshot: &Snapshot,
-    hard: Hard,
+    ballot: Ballot,
     tail: &[Entry],
 ) -> Result<u64> {
     let header = Header {
@@ -292,7 +292,7 @@
     frame::append(&mut bytes, &snapshot.bytes);
     write_atomically(path, &format!("snapshot-{generation}"), &bytes)?;
     let mut items: Vec<Item> = tail.iter().cloned().map(Item::Entry).collect();
-    items.push(Item::HardState(hard));
+    items.push(Item::Ballot(ballot));
     let log = wal::encode(&items)?;
     write_atomically(path, &format!("log-{generation}"), &log)?;
     Ok(log.len() as u64)
--- a/components/transport/src/link.rs
+++ b/components/transport/src/link.rs
@@ -13,7 +13,7 @@
 use rustls_pki_types::CertificateDer;
 use state::id::Name;
 use state::line::Line;
-use state::view::Place;
+use state::view::Node;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -291,17 +291,17 @@
     }
 
     /// Keeps a link to a peer open from now on: opens it, and opens it again when it is lost.
-    pub fn dial(&self, place: &Place) {
-        if place.vm == self.inner.hello.place.vm {
+    pub fn dial(&self, node: &Node) {
+        if node.vm == self.inner.hello.place.vm {
             return;
         }
         let mut table = self.inner.table();
-        if table.dials.contains_key(&place.vm) {
+        if table.dials.contains_key(&node.vm) {
             return;
         }
-        let (hub, owned_place) = (self.clone(), place.clone());
-        let handle = tokio::spawn(async move { hub.keep_open(owned_place).await });
-        table.dials.insert(place.vm.clone(), handle);
+        let (hub, owned_node) = (self.clone(), node.clone());
+        let handle = tokio::spawn(async move { hub.keep_open(owned_node).await });
+        table.dials.insert(node.vm.clone(), handle);
     }
 
     /// Stops keeping a link to a peer open; a link that is up stays up.
@@ -432,16 +432,15 @@
     }
 
     /// Opens the link to a peer whenever it is down, until the task is aborted.
-    async fn keep_open(self, place: Place) {
+    async fn keep_open(self, node: Node) {
         loop {
-            let linked =
-                self.is_up(&place.vm) || self.inner.table().partitioned.contains(&place.vm);
+            let linked = self.is_up(&node.vm) || self.inner.table().partitioned.contains(&node.vm);
             if !linked {
-                match tokio::time::timeout(OPEN_TIMEOUT, self.open(&place)).await {
+                match tokio::time::timeout(OPEN_TIMEOUT, self.open(&node)).await {
                     // The owner of all tasks runs the link, so that the link outlives this task.
                     Ok(Ok(run)) => drop(self.inner.spawn.send(run)),
                     Ok(Err(error)) => tracing::trace!(%error, "a link could not be opened"),
-                    Err(_) => tracing::trace!(peer = %place.vm, "a link took too long to open"),
+                    Err(_) => tracing::trace!(peer = %node.vm, "a link took too long to open"),
                 }
             }
             tokio::time::sleep(REDIAL_INTERVAL).await;
@@ -449,19 +448,19 @@
     }
 
     /// Opens a link; returns the task that serves it.
-    async fn open(&self, place: &Place) -> Result<Task> {
+    async fn open(&self, node: &Node) -> Result<Task> {
         let step = "open a link";
         let connecting = self
             .inner
             .endpoint
             .connect_with(
                 self.inner.client.clone(),
-                place.address,
-                &tls::server_name(&place.vm),
+                node.address,
+                &tls::server_name(&node.vm),
             )
-            .map_err(Error::peer(step, &place.vm))?;
-        let connection = connecting.await.map_err(Error::peer(step, &place.vm))?;
-        self.handshake(connection, Some(&place.vm)).await
+            .map_err(Error::peer(step, &node.vm))?;
+        let connection = connecting.await.map_err(Error::peer(step, &node.vm))?;
+        self.handshake(connection, Some(&node.vm)).await
     }
 
     /// Exchanges introductions with the peer; returns the task that serves the link. A dialed peer
--- a/components/transport/src/wal.rs
+++ b/components/transport/src/wal.rs
@@ -1,7 +1,7 @@
 //! The write-ahead log of one generation: batches of items, each synced before the next.
 
 use crate::frame::{self, Read};
-use coordination::agree::{Entry, Hard, Index};
+use coordination::consensus::{Ballot, Entry, Index};
 use errors::{Error, Result};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
@@ -17,14 +17,14 @@
     Entry(Entry),
     /// Sets term and vote.
     #[serde(rename = "hard")]
-    HardState(Hard),
+    Ballot(Ballot),
 }
 
 /// Content of a log, after all its batches are applied.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Content {
     /// Latest term and vote.
-    pub hard: Hard,
+    pub ballot: Ballot,
     /// Entries in order.
     pub entries: Vec<Entry>,
     /// Length of the valid batches; what follows is a torn tail.
@@ -85,7 +85,7 @@
     /// A reason, when an entry does not follow the last one.
     fn apply(&mut self, item: Item) -> Result<(), String> {
         match item {
-            Item::HardState(hard) => self.hard = hard,
+            Item::Ballot(ballot) => self.ballot = ballot,
             Item::Truncate(index) => self.entries.retain(|e| e.index < index),
             Item::Entry(entry) => {
                 if self
--- a/components/transport/tests/link.rs
+++ b/components/transport/tests/link.rs
@@ -4,7 +4,7 @@
 use protocol::wire::{Hello, Message, Query};
 use state::id::{Epoch, Name, Version};
 use state::record::ChangeId;
-use state::view::Place;
+use state::view::Node;
 use std::time::Duration;
 use transport::clock::Clock;
 use transport::link::{Event, Hub, Socket, Timing};
@@ -14,7 +14,7 @@
 struct Process {
     hub: Hub,
     events: flume::Receiver<Event>,
-    place: Place,
+    place: Node,
 }
 
 fn name(text: &str) -> Name {
@@ -27,7 +27,7 @@
     let credentials = Credentials::from_pem(&authority.certificate, &pair).unwrap();
     let any = "127.0.0.1:0".parse().unwrap();
     let socket = Socket::bind(any, &credentials, Timing::default()).unwrap();
-    let place = Place {
+    let place = Node {
         vm: name(vm),
         address: socket.address().unwrap(),
     };
