--- a/components/node/src/frontend/admit.rs
+++ b/components/node/src/frontend/admit.rs
@@ -58,7 +58,7 @@
 /// Refuses a request while this router is stopping or has no configuration yet.
 fn check_ready(published: &Published) -> Result<(), Refusal> {
     if published.closed {
-        let text = "this router is stopping; another router takes the request";
+        let text = "this router is stopping; another one will take it";
         let status = StatusCode::SERVICE_UNAVAILABLE;
         return Err(
             Refusal::not_run(status, "stopping", text).with_retry_after(OTHER_ROUTER_RETRY_AFTER)
@@ -67,7 +67,7 @@
     if published.ready && published.view.config_version > Version(0) {
         return Ok(());
     }
-    let text = "this router has not received the configuration yet";
+    let text = "this router does not know the configuration yet";
     let status = StatusCode::SERVICE_UNAVAILABLE;
     Err(Refusal::not_run(status, "not-ready", text).with_retry_after_s(1))
 }
@@ -82,7 +82,7 @@
     if frontend.context.lateness.admit_request() == Admission::Admit {
         return Ok(());
     }
-    let text = "this router is overloaded; another router may have capacity";
+    let text = "this router has more to do than it can in time; another one may have room";
     let status = StatusCode::SERVICE_UNAVAILABLE;
     // Spreads the retries of callers that are refused at the same time.
     let retry_after = OTHER_ROUTER_RETRY_AFTER * (1 + u32::try_from(id.count % 4).unwrap_or(0));
@@ -99,8 +99,7 @@
     let age = published.verified_at.map_or(u64::MAX, |at| now.since(at));
     match frontend.context.max_proof_age_ms {
         Some(bound) if age > bound => {
-            let text =
-                "this router has been disconnected from the control VMs for longer than allowed";
+            let text = "this router is cut off from control for longer than allowed";
             let status = StatusCode::SERVICE_UNAVAILABLE;
             Err(Refusal::not_run(status, "stale", text).with_retry_after_s(1))
         }
@@ -118,7 +117,7 @@
     let lengths = headers.get_all(CONTENT_LENGTH).iter().count();
     let both = lengths > 0 && headers.contains_key(TRANSFER_ENCODING);
     if both || lengths > 1 {
-        let text = "a request has either one Content-Length or Transfer-Encoding: chunked";
+        let text = "a body has one Content-Length, or Transfer-Encoding: chunked";
         return Err(Refusal::not_run(
             StatusCode::BAD_REQUEST,
             "ambiguous-length",
@@ -127,12 +126,12 @@
     }
     if headers.get_all(HOST).iter().count() > 1 {
         // Routing here could use another host than the endpoint does.
-        let text = "a request has more than one Host header";
+        let text = "a request names one host";
         let status = StatusCode::BAD_REQUEST;
         return Err(Refusal::not_run(status, "ambiguous-host", text));
     }
     if head.method == Method::CONNECT {
-        let text = "the method CONNECT is not supported";
+        let text = "CONNECT is not served";
         return Err(Refusal::not_run(
             StatusCode::METHOD_NOT_ALLOWED,
             "connect",
@@ -154,7 +153,7 @@
         return Ok(());
     }
     let status = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
-    let text = format!("the head has more than {max} bytes");
+    let text = format!("a head has at most {max} bytes here");
     Err(Refusal::not_run(status, "head-too-large", text))
 }
 
@@ -250,7 +249,7 @@
         let wanted = u32::try_from(wanted).unwrap_or(u32::MAX);
         let more = frontend.body_memory.clone().try_acquire_many_owned(wanted);
         let more = more.map_err(|_| {
-            let text = "the memory for request bodies in this router is full";
+            let text = "the bodies that this router holds take all the memory for them";
             Refusal::not_run(StatusCode::TOO_MANY_REQUESTS, "bodies-full", text)
                 .with_retry_after_s(1)
         })?;
@@ -263,6 +262,6 @@
 }
 
 fn too_large(max: usize) -> Refusal {
-    let text = format!("the body has more than {max} bytes");
+    let text = format!("a body has at most {max} bytes here");
     Refusal::not_run(StatusCode::PAYLOAD_TOO_LARGE, "body-too-large", text)
 }
--- a/components/node/src/frontend/claim.rs
+++ b/components/node/src/frontend/claim.rs
@@ -110,7 +110,7 @@
                 let _ = tokio::time::timeout(SETTLE_TIMEOUT, receiver).await;
                 drop(claim);
             });
-            let text = "the control VMs did not confirm in time that the Idempotency-Key is new";
+            let text = "the control VMs could not be asked whether the key is new";
             Err(
                 Refusal::not_run(StatusCode::SERVICE_UNAVAILABLE, "no-claim", text)
                     .with_retry_after_s(1),
@@ -125,14 +125,10 @@
         Refusal::unknown(StatusCode::CONFLICT, "idempotency-key-taken", text).with_retry_after_s(1)
     };
     match resolution {
-        Resolution::Pending => Err(conflict(
-            "the first request with this key is still in progress",
-        )),
-        Resolution::Unknown => Err(conflict(
-            "it is unknown whether the first request with this key has run",
-        )),
+        Resolution::Pending => Err(conflict("the first request with this key has not ended")),
+        Resolution::Unknown => Err(conflict("whether the first request has run is not known")),
         Resolution::Answered(Stored { body: None, .. }) => Err(conflict(
-            "the first request with this key was answered, but the answer was too long to store",
+            "the first request was answered; its answer was too long to keep",
         )),
         Resolution::Answered(Stored {
             status,
--- a/components/node/src/frontend/delivery.rs
+++ b/components/node/src/frontend/delivery.rs
@@ -108,7 +108,7 @@
 
 /// Refusal of a request in quarantine, whose earlier tries may have run.
 pub(crate) fn quarantined() -> Refusal {
-    let text = "several endpoints have crashed while running this request; \
-                it is not sent to any other endpoint";
+    let text = "endpoints have crashed while they ran this request, one after the other; \
+                it is not sent to any more of them";
     Refusal::unknown(StatusCode::BAD_GATEWAY, "quarantined", text)
 }
--- a/components/node/src/frontend/plan.rs
+++ b/components/node/src/frontend/plan.rs
@@ -29,7 +29,7 @@
 const DEFAULT_OUTPUT_TOKENS: u32 = 256;
 
 /// Text of a refusal because no endpoint of the service accepts requests.
-pub(super) const NO_ENDPOINT_TEXT: &str = "no endpoint is available for this request";
+pub(super) const NO_ENDPOINT_TEXT: &str = "no endpoint serves this request at the moment";
 /// Retry-After of such a refusal.
 pub(super) const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
@@ -218,7 +218,7 @@
     if customer.services.contains(service) {
         return Ok(());
     }
-    let text = format!("this customer may not use the service {service}");
+    let text = format!("this customer may not reach {service}");
     let status = StatusCode::FORBIDDEN;
     Err(Refusal::not_run(status, "service-not-allowed", text))
 }
@@ -268,7 +268,7 @@
 
 /// Refusal of a request whose key belongs to no customer.
 fn unknown_customer() -> Refusal {
-    let text = "the request has no key of a known customer";
+    let text = "send a customer's key";
     Refusal::not_run(StatusCode::UNAUTHORIZED, "unknown-customer", text)
 }
 
--- a/components/node/src/frontend/serve.rs
+++ b/components/node/src/frontend/serve.rs
@@ -34,8 +34,7 @@
 const MAX_UNCONNECTED_TRIES: u32 = 2;
 
 /// Text of a refusal because the request would be answered too late.
-const OVERLOADED_TEXT: &str =
-    "the endpoints are overloaded and could not answer this request in time";
+const OVERLOADED_TEXT: &str = "the endpoints have more to do than they can in time";
 
 /// Least Retry-After if too many requests of the caller are queued: about the time that a request
 /// waits in the queue.
@@ -380,14 +379,14 @@
         Ok(Ok(admitted)) => Ok(admitted),
         Ok(Err(QueueFull::Customer)) => {
             let text = format!(
-                "too many requests of this customer are queued for {}",
+                "too many requests of this customer wait for {}",
                 plan.service_name
             );
             Err(queue_full("customer-queue-full", &text))
         }
         Ok(Err(QueueFull::Router)) => Err(queue_full(
             "router-queue-full",
-            "too many requests are queued in this router",
+            "too many requests wait here",
         )),
         Ok(Err(QueueFull::Late { after_ms })) => {
             let spread = rand::random_range(750..=1250);
--- a/components/node/src/frontend/upstream.rs
+++ b/components/node/src/frontend/upstream.rs
@@ -193,7 +193,7 @@
     if identity.is_some_and(|i| i.as_bytes() != expected) {
         // An endpoint that mixes up its answers would otherwise deliver another caller's answer
         // to this one.
-        let error = bad_answer("the answer has the identity of another request");
+        let error = bad_answer("it bears the identity of another request");
         return Err(Failure {
             backoff,
             ..Failure::new(Reach::Sent, error)
@@ -211,7 +211,7 @@
         });
     }
     if !is_authentic {
-        let error = bad_answer("the answer does not come from the endpoint itself");
+        let error = bad_answer("it is not an endpoint's own answer");
         return Err(Failure {
             backoff,
             ..Failure::new(Reach::Sent, error)
