--- a/components/node/src/frontend/admit.rs
+++ b/components/node/src/frontend/admit.rs
@@ -23,7 +23,7 @@
 pub(super) const BUSY_CODE: &str = "router-busy";
 
 /// Retry-After for a request that another router, or another endpoint, can serve at once.
-pub(super) const OTHER_ROUTER_RETRY_AFTER: Duration = Duration::from_millis(50);
+pub(super) const FAST_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Lower bound of the limit on the bytes that are read of a refused request's body.
 const MIN_DISCARD_LIMIT_BYTES: usize = 4 * 1024 * 1024;
@@ -60,9 +60,7 @@
     if published.closed {
         let text = "this router is stopping; another one will take it";
         let status = StatusCode::SERVICE_UNAVAILABLE;
-        return Err(
-            Refusal::not_run(status, "stopping", text).with_retry_after(OTHER_ROUTER_RETRY_AFTER)
-        );
+        return Err(Refusal::not_run(status, "stopping", text).with_retry_after(FAST_RETRY_AFTER));
     }
     if published.ready && published.view.config_version > Version(0) {
         return Ok(());
@@ -85,7 +83,7 @@
     let text = "this router has more to do than it can in time; another one may have room";
     let status = StatusCode::SERVICE_UNAVAILABLE;
     // Spreads the retries of callers that are refused at the same time.
-    let retry_after = OTHER_ROUTER_RETRY_AFTER * (1 + u32::try_from(id.count % 4).unwrap_or(0));
+    let retry_after = FAST_RETRY_AFTER * (1 + u32::try_from(id.count % 4).unwrap_or(0));
     Err(Refusal::not_run(status, BUSY_CODE, text).with_retry_after(retry_after))
 }
 
--- a/components/node/src/frontend/relay.rs
+++ b/components/node/src/frontend/relay.rs
@@ -32,7 +32,7 @@
 /// A dispatched request, which holds a slot of its endpoint. The slot is released when this value
 /// is dropped.
 pub(crate) struct Slot {
-    /// The request in the dispatcher.
+    /// Handle of the request in the dispatcher.
     pub(crate) handle: Handle,
     pub(crate) id: RequestId,
     pub(crate) meter: Meter,
@@ -56,11 +56,11 @@
         if !self.is_armed {
             return;
         }
-        let step = match self.verdict {
+        let kind = match self.verdict {
             Verdict::Cancelled => Kind::CallerGone,
             Verdict::Fine | Verdict::Failed | Verdict::Error => Kind::Ended,
         };
-        self.journal.note(Event::new(step).request(self.id));
+        self.journal.note(Event::new(kind).request(self.id));
         let done = Input::Done(self.handle, self.meter.units(), self.verdict);
         // Sending fails only at the end of this process.
         let _ = self.reactor.send(done);
@@ -75,7 +75,7 @@
     prompt: Prompt,
     /// Tokens that one event of the answer holds.
     event_tokens: u32,
-    began: Instant,
+    dispatched_at: Instant,
     /// Events of the answer so far.
     events: u32,
     /// First bytes of the current line, as many as `data:` has.
@@ -91,7 +91,7 @@
             cost,
             prompt,
             event_tokens: engine.map_or(1, |e| e.event_tokens),
-            began: Instant::now(),
+            dispatched_at: Instant::now(),
             events: 0,
             line_start: [0; 5],
             line_length: 0,
@@ -104,7 +104,9 @@
             Cost::Request => 1,
             Cost::Event => self.events.max(1),
             Cost::Token => token_cost(&self.prompt, self.events * self.event_tokens),
-            Cost::Time => u32::try_from(self.began.elapsed().as_millis()).unwrap_or(u32::MAX),
+            Cost::Time => {
+                u32::try_from(self.dispatched_at.elapsed().as_millis()).unwrap_or(u32::MAX)
+            }
         }
     }
 
@@ -144,20 +146,20 @@
     pub(crate) verdict_if_complete: Verdict,
     pub(crate) slot: Slot,
     pub(crate) delivery: Delivery,
-    /// Ends when the time for the answer is over.
+    /// Completes at the deadline of the answer.
     pub(crate) deadline: Pin<Box<tokio::time::Sleep>>,
     /// Copy for resends, if the request claimed an idempotency key.
     pub(crate) replay: Option<Replay>,
     /// Cost that was last reported to the dispatcher.
     pub(crate) reported_units: u32,
-    /// When the latest piece was handed to the caller's connection, until that asks for the next
-    /// one.
+    /// When the latest piece was handed to the caller's connection; `None` once the connection
+    /// has asked for the next piece.
     pub(crate) last_piece_at: Option<Instant>,
     /// When the caller last resumed reading after a pause of [`SLOW_READ_PAUSE`].
     pub(crate) resumed_at: Option<Instant>,
     /// Whether the first piece has arrived.
     pub(crate) has_begun: bool,
-    /// How late tasks of this process run: late tasks measure endpoints as too slow.
+    /// How late tasks of this process run. Latencies measured while tasks run late are discarded.
     pub(crate) lateness: Lateness,
     /// Access log entry of the request, with the status of the answer.
     pub(crate) entry: Option<(Entry, StatusCode)>,
@@ -207,11 +209,11 @@
     /// Meters, times and copies a piece of the answer.
     fn count(&mut self, bytes: &Bytes) {
         if !std::mem::replace(&mut self.has_begun, true) {
-            let took_ms = u32::try_from(self.slot.meter.began.elapsed().as_millis()).ok();
+            let took_ms = u32::try_from(self.slot.meter.dispatched_at.elapsed().as_millis()).ok();
             let took_ms = took_ms.filter(|_| !self.lateness.is_late());
-            let began = Input::FirstByte(self.slot.handle, took_ms);
+            let first_byte = Input::FirstByte(self.slot.handle, took_ms);
             // Sending fails only at the end of this process.
-            let _ = self.slot.reactor.send(began);
+            let _ = self.slot.reactor.send(first_byte);
         }
         self.slot.meter.count_events(bytes);
         if let Some((entry, _)) = &mut self.entry {
--- a/components/node/src/frontend/serve.rs
+++ b/components/node/src/frontend/serve.rs
@@ -2,7 +2,7 @@
 //! endpoints, and relaying of the answer.
 
 use super::access_log::Entry;
-use super::admit::{admit, discard_body, read_body, BUSY_CODE, OTHER_ROUTER_RETRY_AFTER};
+use super::admit::{admit, discard_body, read_body, BUSY_CODE, FAST_RETRY_AFTER};
 use super::claim::{claim, Claim, Claimed};
 use super::delivery::{quarantined, Delivery};
 use super::listen::Frontend;
@@ -14,7 +14,7 @@
 use crate::interface::REQUEST_ID;
 use crate::shared::Published;
 use bytes::Bytes;
-use coordination::dispatcher::{Handle, Rejection as QueueFull};
+use coordination::dispatcher::{Handle, Rejection};
 use coordination::messages::Verdict;
 use coordination::retry::{self, Action, Reach};
 use http_body_util::{Either, Full};
@@ -29,8 +29,9 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// Failed connections per request that do not count as failed tries. Each costs up to the connect
-/// timeout, and after two of them most of the service's endpoints are likely to be unreachable.
+/// Most failed connections of a request that do not count as failed tries. Each costs up to the
+/// connect timeout, and after two of them most of the service's endpoints are likely to be
+/// unreachable.
 const MAX_UNCONNECTED_TRIES: u32 = 2;
 
 /// Text of a refusal because the request would be answered too late.
@@ -56,20 +57,20 @@
         router: frontend.context.incarnation,
         count: frontend.next_request.fetch_add(1, Ordering::Relaxed),
     };
-    let began = Instant::now();
+    let arrived_at = Instant::now();
     let published = frontend.context.published.borrow().clone();
     let now = frontend.context.clock.now();
     let metrics = frontend.context.metrics.clone();
-    let mut entry = Entry::new(id, began, now, &published, metrics);
-    let answered = handle(&frontend, &published, &mut entry, request, began).await;
+    let mut entry = Entry::new(id, arrived_at, now, &published, metrics);
+    let answered = handle(&frontend, &published, &mut entry, request, arrived_at).await;
     let is_busy = matches!(&answered, Err(refusal) if refusal.code == BUSY_CODE);
     let is_refused = answered.is_err();
     let reply = match answered {
         Ok(Served::Relayed(head, mut relay)) => {
             relay.entry = Some((entry, head.status));
-            let until = AnswerDeadline(relay.deadline.deadline().into_std());
+            let deadline = AnswerDeadline(relay.deadline.deadline().into_std());
             let mut reply = Response::from_parts(head, Either::Right(*relay));
-            reply.extensions_mut().insert(until);
+            reply.extensions_mut().insert(deadline);
             reply
         }
         Ok(Served::Replayed(response)) => {
@@ -92,7 +93,7 @@
         .context
         .metrics
         .duration
-        .observe(began.elapsed().as_secs_f64());
+        .observe(arrived_at.elapsed().as_secs_f64());
     Ok(close_if_needed(&frontend, reply, is_busy, is_refused))
 }
 
@@ -110,13 +111,13 @@
     is_busy: bool,
     is_refused: bool,
 ) -> Reply {
-    let is_scarce = frontend
+    let is_nearly_full = frontend
         .context
         .budget
         .is_nearly_full(frontend.connections());
-    let is_elsewhere = is_refused && frontend.context.lateness.is_bypassed();
+    let is_bypassed = is_refused && frontend.context.lateness.is_bypassed();
     let published = frontend.context.published.borrow();
-    if is_scarce || is_busy || is_elsewhere || published.is_dedicated || published.stopping {
+    if is_nearly_full || is_busy || is_bypassed || published.is_dedicated || published.stopping {
         let close = HeaderValue::from_static("close");
         reply.headers_mut().insert(CONNECTION, close);
     }
@@ -137,7 +138,7 @@
     published: &Published,
     entry: &mut Entry,
     request: Request<Incoming>,
-    began: Instant,
+    arrived_at: Instant,
 ) -> Result<Served, Refusal> {
     let (head, body) = request.into_parts();
     let inbound = match admit(frontend, published, &head, entry) {
@@ -169,18 +170,18 @@
             }
         }
     }
-    dispatch_until_answered(frontend, call, &plan, claimed, entry, began).await
+    dispatch_until_answered(frontend, call, &plan, claimed, entry, arrived_at).await
 }
 
 /// A queued request. It leaves the queue when this value is dropped, since the caller is gone.
-struct Waiting {
+struct Queued {
     /// The request in the dispatcher; `None` once it has left the queue.
     handle: Option<Handle>,
     id: RequestId,
     frontend: Arc<Frontend>,
 }
 
-impl Drop for Waiting {
+impl Drop for Queued {
     fn drop(&mut self) {
         if let Some(handle) = self.handle {
             let event = Event::new(Kind::CallerGone).request(self.id);
@@ -197,7 +198,7 @@
     plan: &Plan,
     mut claim: Option<Claim>,
     entry: &mut Entry,
-    began: Instant,
+    arrived_at: Instant,
 ) -> Result<Served, Refusal> {
     frontend.check_quarantine(&call)?;
     frontend.earn_retries(plan.service);
@@ -205,15 +206,15 @@
     let mut retries = 0;
     let mut unconnected_tries = 0;
     loop {
-        let waiting = Waiting {
+        let queued = Queued {
             handle: Some(handle),
             id: call.id,
             frontend: frontend.clone(),
         };
         let dispatch =
-            wait_for_dispatch(frontend, &call, waiting, decided, retries, plan.idempotent).await?;
+            wait_for_dispatch(frontend, &call, queued, decided, retries, plan.idempotent).await?;
         entry.log_dispatch(&dispatch, call.fingerprint());
-        record_dispatch(frontend, &call, plan, &dispatch, retries, began);
+        record_dispatch(frontend, &call, plan, &dispatch, retries, arrived_at);
         let delivery = Delivery::new(frontend, &call, plan.customer);
         let mut slot = Slot {
             handle,
@@ -227,7 +228,7 @@
         if let Some(claim) = &mut claim {
             claim.mark_sent();
         }
-        let remaining = plan.timeout.saturating_sub(began.elapsed());
+        let remaining = plan.timeout.saturating_sub(arrived_at.elapsed());
         let options = upstream::Options {
             interface: &frontend.context.interface,
             pool: &frontend.pool,
@@ -252,7 +253,7 @@
                 Ok(answer) => {
                     let answering = (answer, delivery);
                     return Ok(relay_answer(
-                        frontend, answering, slot, claim, dispatch, plan, began,
+                        frontend, answering, slot, claim, dispatch, plan, arrived_at,
                     ));
                 }
                 Err(failure) => failure,
@@ -312,16 +313,16 @@
     plan: &Plan,
     dispatch: &Dispatch,
     retries: u32,
-    began: Instant,
+    arrived_at: Instant,
 ) {
-    let step = if retries == 0 {
-        let waited = began.elapsed().as_secs_f64();
+    let kind = if retries == 0 {
+        let waited = arrived_at.elapsed().as_secs_f64();
         frontend.context.metrics.queue_wait.observe(waited);
         Kind::Sent
     } else {
         Kind::Retried
     };
-    let event = Event::new(step).request(call.id).service(plan.service);
+    let event = Event::new(kind).request(call.id).service(plan.service);
     frontend
         .context
         .journal
@@ -377,23 +378,23 @@
     };
     match receiver.await {
         Ok(Ok(admitted)) => Ok(admitted),
-        Ok(Err(QueueFull::Customer)) => {
+        Ok(Err(Rejection::Customer)) => {
             let text = format!(
                 "too many requests of this customer wait for {}",
                 plan.service_name
             );
             Err(queue_full("customer-queue-full", &text))
         }
-        Ok(Err(QueueFull::Router)) => Err(queue_full(
+        Ok(Err(Rejection::Router)) => Err(queue_full(
             "router-queue-full",
             "too many requests wait here",
         )),
-        Ok(Err(QueueFull::Late { after_ms })) => {
+        Ok(Err(Rejection::Late { after_ms })) => {
             let spread = rand::random_range(750..=1250);
             let retry_after = Duration::from_millis(u64::from(after_ms) * spread / 1000);
             Err(unserved("overloaded", OVERLOADED_TEXT, 0, false).with_retry_after(retry_after))
         }
-        Ok(Err(QueueFull::NoEndpoint)) | Err(_) => Err(no_endpoint()),
+        Ok(Err(Rejection::NoEndpoint)) | Err(_) => Err(no_endpoint()),
     }
 }
 
@@ -405,7 +406,7 @@
 async fn wait_for_dispatch(
     frontend: &Frontend,
     call: &Call,
-    mut waiting: Waiting,
+    mut queued: Queued,
     decided: Decided,
     retries: u32,
     idempotent: bool,
@@ -419,7 +420,7 @@
         () = frontend.until_quarantined(call) => return Err(quarantined()),
         decision = decided => decision,
     };
-    waiting.handle = None;
+    queued.handle = None;
     match decision {
         Ok(Decision::Dispatch(dispatch)) => {
             let event = Event::new(Kind::Granted).request(call.id);
@@ -474,7 +475,7 @@
     match action {
         Action::NotRun if failure.backoff.is_some() => {
             // The caller's retry goes to another endpoint.
-            let retry_after = OTHER_ROUTER_RETRY_AFTER * rand::random_range(1..=3);
+            let retry_after = FAST_RETRY_AFTER * rand::random_range(1..=3);
             Refusal::not_run(status, "endpoint-backoff", text).with_retry_after(retry_after)
         }
         Action::NotRun => {
@@ -492,7 +493,7 @@
     claim: Option<Claim>,
     dispatch: Dispatch,
     plan: &Plan,
-    began: Instant,
+    arrived_at: Instant,
 ) -> Served {
     let (mut head, body) = answer.response.into_parts();
     let keep_alive = upstream::keep_alive_timeout(&head.headers);
@@ -505,15 +506,19 @@
     set_header(&mut head.headers, REQUEST_ID, &slot.id.to_string());
     count_answer(frontend, Outcome::Answered, head.status);
     let replay = claim.map(|claim| {
-        let (done, ended) = oneshot::channel();
-        let kind = head.headers.get(CONTENT_TYPE).and_then(|v| v.to_str().ok());
-        claim.settle_when_complete(head.status.as_u16(), kind.unwrap_or("").to_owned(), ended);
+        let (done, body_end) = oneshot::channel();
+        let content_type = head.headers.get(CONTENT_TYPE).and_then(|v| v.to_str().ok());
+        claim.settle_when_complete(
+            head.status.as_u16(),
+            content_type.unwrap_or("").to_owned(),
+            body_end,
+        );
         Replay {
             body: Some(Vec::new()),
             done: Some(done),
         }
     });
-    let remaining = plan.timeout.saturating_sub(began.elapsed());
+    let remaining = plan.timeout.saturating_sub(arrived_at.elapsed());
     let mut relay = Relay {
         incoming: body,
         verdict_if_complete: if head.status.is_server_error() {
--- a/components/node/src/frontend/upstream.rs
+++ b/components/node/src/frontend/upstream.rs
@@ -106,25 +106,29 @@
 /// [`Failure`], if there is no connection or no valid answer.
 pub(crate) async fn send(
     call: &Call,
-    to: &Dispatch,
+    dispatch: &Dispatch,
     options: Options<'_>,
 ) -> Result<Answer, Failure> {
     let unsent_failure = |error| Failure::new(Reach::Nothing, error);
     let began = std::time::Instant::now();
-    let key = (to.endpoint, to.address);
+    let key = (dispatch.endpoint, dispatch.address);
     let mut pooled = options.pool.take(&key, options.at_most_once);
     loop {
         let reused = pooled.is_some();
         let mut connection = match pooled.take() {
             Some(connection) => connection,
-            None => pool::connect(to.address).await.map_err(no_connection)?,
+            None => pool::connect(dispatch.address)
+                .await
+                .map_err(no_connection)?,
         };
         let remaining = options.remaining.saturating_sub(began.elapsed());
         let request = call
-            .request(to, options.interface, remaining)
+            .request(dispatch, options.interface, remaining)
             .map_err(unsent_failure)?;
         match connection.sender.try_send_request(request).await {
-            Ok(response) => return check_answer(call, to, options.interface, response, connection),
+            Ok(response) => {
+                return check_answer(call, dispatch, options.interface, response, connection)
+            }
             Err(mut error) => {
                 let unsent = error.take_message().is_some();
                 // The endpoint had closed the pooled connection before anything was sent.
@@ -133,7 +137,8 @@
                     continue;
                 }
                 let reach = if unsent { Reach::Nothing } else { Reach::Sent };
-                let error = Error::peer("send to an endpoint", to.address)(error.into_error());
+                let error =
+                    Error::peer("send to an endpoint", dispatch.address)(error.into_error());
                 return Err(Failure {
                     broke_off: reach == Reach::Sent,
                     ..Failure::new(reach, error)
@@ -163,7 +168,7 @@
 /// Checks that an answer is the endpoint's own answer to this call.
 fn check_answer(
     call: &Call,
-    to: &Dispatch,
+    dispatch: &Dispatch,
     interface: &Interface,
     response: Response<Incoming>,
     connection: Connection,
@@ -176,13 +181,13 @@
         is_leaving,
         retry_after,
     } = (interface.parse_response)(&head);
-    let retry_after = retry_after.map(|time| Backoff::pausing(to.endpoint, time));
+    let retry_after = retry_after.map(|time| Backoff::pausing(dispatch.endpoint, time));
     let backoff = is_leaving
-        .then(|| Backoff::leaving(to.endpoint))
+        .then(|| Backoff::leaving(dispatch.endpoint))
         .or(retry_after);
     let bad_answer = |reason: &str| Error::Peer {
         step: "read an answer",
-        peer: to.address.to_string(),
+        peer: dispatch.address.to_string(),
         reason: reason.to_owned(),
     };
     let own_id = call.id.to_string();
@@ -244,7 +249,7 @@
     /// caller's request.
     fn request(
         &self,
-        to: &Dispatch,
+        dispatch: &Dispatch,
         interface: &Interface,
         remaining: Duration,
     ) -> Result<Request<Full<Bytes>>> {
@@ -253,7 +258,7 @@
             .method(self.method.clone())
             .uri(path)
             .body(Full::new(self.body.clone()))
-            .map_err(Error::peer("build a request", to.address))?;
+            .map_err(Error::peer("build a request", dispatch.address))?;
         let headers = request.headers_mut();
         for (name, value) in &self.headers {
             headers.append(name.clone(), value.clone());
@@ -263,14 +268,14 @@
         headers.remove(EXPECT);
         let outbound = Outbound {
             identity: &self.id.to_string(),
-            endpoint: &to.name,
+            endpoint: &dispatch.name,
             customer: self.customer.as_ref(),
             time_left: remaining,
-            copy_from: to.copy_from,
+            copy_from: dispatch.copy_from,
         };
         (interface.rewrite_headers)(headers, &outbound);
         if !headers.contains_key(HOST) {
-            set_header(headers, "host", &to.address.to_string());
+            set_header(headers, "host", &dispatch.address.to_string());
         }
         Ok(request)
     }
--- a/components/transport/src/link.rs
+++ b/components/transport/src/link.rs
@@ -144,7 +144,7 @@
     counts: Counts,
     /// The one task that owns all others; joined by [`Hub::stop`].
     tasks: tokio::sync::Mutex<JoinSet<()>>,
-    /// Hands a task to that one.
+    /// Sends tasks to the one that owns them.
     spawn: flume::Sender<Task>,
 }
 
@@ -157,8 +157,8 @@
     inner: Arc<Inner>,
 }
 
-/// A bound socket for links, which does not accept any yet. Its address is part of the introduction
-/// that peers receive.
+/// A bound socket that does not accept links yet. A process needs the bound address for its
+/// introduction to peers.
 pub struct Socket {
     endpoint: quinn::Endpoint,
     client: quinn::ClientConfig,
