--- a/components/transport/src/disk.rs
+++ b/components/transport/src/disk.rs
@@ -59,7 +59,7 @@
     pub fn open(path: &Path, new_identity: DiskId) -> Result<(Self, Recovery)> {
         fs::create_dir_all(path).map_err(Error::file("create the data folder", path))?;
         let identity = read_or_create_identity(path, new_identity)?;
-        let (generation, start, valid_bytes) = match newest_generation(path)? {
+        let (generation, recovery, valid_bytes) = match newest_generation(path)? {
             Some(generation) => read_generation(path, generation)?,
             None => {
                 write_generation(path, 0, &Snapshot::default(), Ballot::default(), &[])?;
@@ -83,12 +83,12 @@
             log,
             log_bytes: valid_bytes,
             // CAST: `usize` is at most 64 bits on every supported target.
-            snapshot_bytes: start.snapshot.bytes.len() as u64,
+            snapshot_bytes: recovery.snapshot.bytes.len() as u64,
             compact_bytes: DEFAULT_COMPACT_BYTES,
             sync_count: 0,
         };
         folder.remove_older();
-        Ok((folder, start))
+        Ok((folder, recovery))
     }
 
     /// Identity of the disk, created with the folder.
@@ -241,12 +241,12 @@
     let log = log_path(path, generation);
     let bytes = fs::read(&log).map_err(Error::file("read the log", &log))?;
     let content = wal::decode(&log, &bytes)?;
-    let start = Recovery {
+    let recovery = Recovery {
         ballot: content.ballot,
         snapshot,
         entries: content.entries,
     };
-    Ok((generation, start, content.valid_bytes))
+    Ok((generation, recovery, content.valid_bytes))
 }
 
 /// Reads the snapshot in a file.
--- a/components/transport/tests/disk.rs
+++ b/components/transport/tests/disk.rs
@@ -40,8 +40,8 @@
 #[test]
 fn can_read_back_what_was_written() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut disk, start) = open(folder.path());
-    assert_eq!(start, Recovery::default());
+    let (mut disk, recovery) = open(folder.path());
+    assert_eq!(recovery, Recovery::default());
     disk.write(&append(1..=3), Ballot::default()).unwrap();
     let ballot = Ballot {
         term: Term(2),
@@ -55,11 +55,11 @@
     };
     disk.write(&ready, ballot).unwrap();
     drop(disk);
-    let (disk, start) = Folder::open(folder.path(), DiskId(8)).unwrap();
+    let (disk, recovery) = Folder::open(folder.path(), DiskId(8)).unwrap();
     // The identity of the first start is kept.
     assert_eq!(disk.identity(), DiskId(7));
-    assert_eq!(start.ballot, ballot);
-    assert_eq!(start.entries, (1..=4).map(entry).collect::<Vec<_>>());
+    assert_eq!(recovery.ballot, ballot);
+    assert_eq!(recovery.entries, (1..=4).map(entry).collect::<Vec<_>>());
 }
 
 #[test]
@@ -77,9 +77,9 @@
         .unwrap();
     disk.write(&append(10..=10), Ballot::default()).unwrap();
     drop(disk);
-    let (_, start) = open(folder.path());
-    assert_eq!(start.snapshot, snapshot);
-    assert_eq!(start.entries, (8..=10).map(entry).collect::<Vec<_>>());
+    let (_, recovery) = open(folder.path());
+    assert_eq!(recovery.snapshot, snapshot);
+    assert_eq!(recovery.entries, (8..=10).map(entry).collect::<Vec<_>>());
     // One generation is left: the identity, a snapshot and a log.
     assert_eq!(fs::read_dir(folder.path()).unwrap().count(), 3);
 }
@@ -99,8 +99,8 @@
     let bytes = fs::read(&file).unwrap();
     for cut in usize::try_from(valid_bytes).unwrap()..bytes.len() {
         fs::write(&file, &bytes[..cut]).unwrap();
-        let (mut disk, start) = open(folder.path());
-        assert_eq!(start.entries.len(), 2, "cut at {cut}");
+        let (mut disk, recovery) = open(folder.path());
+        assert_eq!(recovery.entries.len(), 2, "cut at {cut}");
         disk.write(&append(3..=3), Ballot::default()).unwrap();
         drop(disk);
         assert_eq!(open(folder.path()).1.entries.len(), 3);
--- a/components/transport/tests/link.rs
+++ b/components/transport/tests/link.rs
@@ -14,7 +14,7 @@
 struct Process {
     hub: Hub,
     events: flume::Receiver<Event>,
-    place: Node,
+    node: Node,
 }
 
 fn name(text: &str) -> Name {
@@ -23,22 +23,22 @@
 
 /// Starts a process that introduces itself as `vm`, with a certificate issued to `certificate_vm`.
 fn process(authority: &Identity, vm: &str, certificate_vm: &str, incarnation: u64) -> Process {
-    let pair = issue_certificate(authority, &name(certificate_vm)).unwrap();
-    let credentials = Credentials::from_pem(&authority.certificate, &pair).unwrap();
+    let identity = issue_certificate(authority, &name(certificate_vm)).unwrap();
+    let credentials = Credentials::from_pem(&authority.certificate, &identity).unwrap();
     let any = "127.0.0.1:0".parse().unwrap();
     let socket = Socket::bind(any, &credentials, Timing::default()).unwrap();
-    let place = Node {
+    let node = Node {
         vm: name(vm),
         address: socket.address().unwrap(),
     };
     let hello = Hello {
-        place: place.clone(),
+        place: node.clone(),
         incarnation,
         operator_address: any,
         data_centre: name("dc-1"),
     };
     let (hub, events) = socket.start(hello, Clock::default());
-    Process { hub, events, place }
+    Process { hub, events, node }
 }
 
 async fn next(process: &Process) -> Option<Event> {
@@ -55,12 +55,12 @@
 async fn can_carry_messages_in_order_both_ways() {
     let fleet = create_authority().unwrap();
     let (a, b) = (process(&fleet, "a", "a", 1), process(&fleet, "b", "b", 1));
-    a.hub.dial(&b.place);
-    assert!(matches!(next(&a).await, Some(Event::Up(h)) if h.place == b.place));
-    assert!(matches!(next(&b).await, Some(Event::Up(h)) if h.place == a.place));
+    a.hub.dial(&b.node);
+    assert!(matches!(next(&a).await, Some(Event::Up(h)) if h.place == b.node));
+    assert!(matches!(next(&b).await, Some(Event::Up(h)) if h.place == a.node));
     for n in 0..500 {
-        assert!(a.hub.send(&b.place.vm, Message::VersionProof(Version(n))));
-        assert!(b.hub.send(&a.place.vm, Message::Unassigned(Epoch(n))));
+        assert!(a.hub.send(&b.node.vm, Message::VersionProof(Version(n))));
+        assert!(b.hub.send(&a.node.vm, Message::Unassigned(Epoch(n))));
     }
     for n in 0..500 {
         let to_b = next(&b).await;
@@ -71,7 +71,7 @@
         assert!(matches!(to_a, Some(Event::Message(_, Message::Unassigned(e))) if e == Epoch(n)));
     }
     a.hub.stop().await;
-    assert!(matches!(next(&b).await, Some(Event::Down(vm)) if vm == a.place.vm));
+    assert!(matches!(next(&b).await, Some(Event::Down(vm)) if vm == a.node.vm));
     b.hub.stop().await;
 }
 
@@ -83,14 +83,14 @@
     let fleet = create_authority().unwrap();
     for _ in 0..3 {
         let (a, b) = (process(&fleet, "a", "a", 1), process(&fleet, "b", "b", 1));
-        a.hub.dial(&b.place);
-        b.hub.dial(&a.place);
+        a.hub.dial(&b.node);
+        b.hub.dial(&a.node);
         assert!(matches!(next(&a).await, Some(Event::Up(_))));
         assert!(matches!(next(&b).await, Some(Event::Up(_))));
         // Whichever link came up first, the one that `a` opened is kept in the end.
         while !is_quiet(&a).await || !is_quiet(&b).await {}
-        assert!(a.hub.send(&b.place.vm, Message::VersionProof(Version(1))));
-        assert!(b.hub.send(&a.place.vm, Message::VersionProof(Version(2))));
+        assert!(a.hub.send(&b.node.vm, Message::VersionProof(Version(1))));
+        assert!(b.hub.send(&a.node.vm, Message::VersionProof(Version(2))));
         assert!(matches!(next(&a).await, Some(Event::Message(..))));
         assert!(matches!(next(&b).await, Some(Event::Message(..))));
         a.hub.stop().await;
@@ -107,9 +107,9 @@
     let fleet = create_authority().unwrap();
     let host = process(&fleet, "host", "host", 1);
     let stranger = process(&create_authority().unwrap(), "a", "a", 1);
-    stranger.hub.dial(&host.place);
+    stranger.hub.dial(&host.node);
     let impostor = process(&fleet, "a", "b", 1);
-    impostor.hub.dial(&host.place);
+    impostor.hub.dial(&host.node);
     assert!(is_quiet(&host).await);
     assert!(!host.hub.is_up(&name("a")));
     for process in [host, stranger, impostor] {
@@ -125,10 +125,10 @@
     let fleet = create_authority().unwrap();
     let host = process(&fleet, "host", "host", 1);
     let first = process(&fleet, "a", "a", 1);
-    first.hub.dial(&host.place);
+    first.hub.dial(&host.node);
     assert!(matches!(next(&host).await, Some(Event::Up(h)) if h.incarnation == 1));
     let second = process(&fleet, "a", "a", 2);
-    second.hub.dial(&host.place);
+    second.hub.dial(&host.node);
     assert!(matches!(next(&host).await, Some(Event::Down(_))));
     assert!(matches!(next(&host).await, Some(Event::Up(h)) if h.incarnation == 2));
     for process in [first, second, host] {
@@ -143,7 +143,7 @@
     // Cause: the send queue is bounded by its number of messages, 8,192, but not by their bytes.
     let fleet = create_authority().unwrap();
     let (a, b) = (process(&fleet, "a", "a", 1), process(&fleet, "b", "b", 1));
-    a.hub.dial(&b.place);
+    a.hub.dial(&b.node);
     assert!(matches!(next(&a).await, Some(Event::Up(_))));
     let large = Query::Change {
         id: ChangeId(1),
@@ -152,7 +152,7 @@
     };
     // Nothing is written meanwhile, since this task does not yield to another one.
     let message = || Message::Query(1, large.clone());
-    let taken = (0..64).filter(|_| a.hub.send(&b.place.vm, message()));
+    let taken = (0..64).filter(|_| a.hub.send(&b.node.vm, message()));
     assert!(taken.count() < 16);
     // The link is opened again, and transfers messages that fit in its queue.
     assert!(matches!(next(&a).await, Some(Event::Down(_))));
@@ -161,7 +161,7 @@
         while !matches!(next(&b).await, Some(Event::Up(_))) {}
     }
     for _ in 0..20 {
-        assert!(a.hub.send(&b.place.vm, message()));
+        assert!(a.hub.send(&b.node.vm, message()));
         while !matches!(next(&b).await, Some(Event::Message(..))) {}
     }
     a.hub.stop().await;
@@ -172,7 +172,7 @@
 async fn can_simulate_a_partition_from_a_peer() {
     let fleet = create_authority().unwrap();
     let (a, b) = (process(&fleet, "a", "a", 1), process(&fleet, "b", "b", 1));
-    a.hub.dial(&b.place);
+    a.hub.dial(&b.node);
     assert!(matches!(next(&a).await, Some(Event::Up(_))));
     a.hub.partition(&[name("b")], false);
     assert!(matches!(next(&a).await, Some(Event::Down(_))));
