--- a/components/coordination/tests/decisions.rs
+++ b/components/coordination/tests/decisions.rs
@@ -222,8 +222,8 @@
 #[test]
 fn can_compare_a_delayed_load_report_with_recent_requests() {
     // Symptom: slots stay unused although no other client uses the endpoint.
-    // Sequence: four requests run and end; a load report that is up to a second
-    // old then arrives and counts four.
+    // Sequence: four requests run and end; a load report that was measured a second
+    // earlier then arrives and counts four.
     // Cause: the delayed report was compared with the requests that run now.
     let criteria = Criteria {
         session: None,
