--- a/components/coordination/tests/region/fair_share.rs
+++ b/components/coordination/tests/region/fair_share.rs
@@ -3,7 +3,7 @@
 //! Callers of one address all come to one router, until that says that it is not ready.
 
 use crate::setup::{Callers, Setup, Tasks, MIXED};
-use crate::world::World;
+use crate::simulation::World;
 use rstest::rstest;
 use std::collections::BTreeMap;
 
--- a/components/coordination/tests/region/main.rs
+++ b/components/coordination/tests/region/main.rs
@@ -6,8 +6,8 @@
 #[path = "../views/mod.rs"]
 mod views;
 
-mod divided;
 mod fair_share;
 mod setup;
+mod sharded;
 mod share;
-mod world;
+mod simulation;
--- a/components/coordination/tests/region/divided.rs
+++ b/components/coordination/tests/region/sharded.rs
@@ -2,7 +2,7 @@
 //! load.
 
 use crate::setup::{Callers, Setup, Tasks, ALIKE};
-use crate::world::{Tally, World};
+use crate::simulation::{Tally, World};
 use std::collections::BTreeMap;
 
 const CENTRES: usize = 3;
--- a/components/coordination/tests/region/share.rs
+++ b/components/coordination/tests/region/share.rs
@@ -2,7 +2,7 @@
 //! refused or wait past their aim, it gets at least half of what it asks for, or of what
 //! the best served customer gets, whichever is less in each second.
 
-use crate::world::{Second, World};
+use crate::simulation::{Second, World};
 use std::collections::BTreeMap;
 use std::fmt;
 
--- a/components/coordination/tests/region/world.rs
+++ b/components/coordination/tests/region/simulation.rs
@@ -5,8 +5,8 @@
 //! tell each other what they have given, as those of one service do.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
-mod one_queue;
 mod router;
+mod single_queue;
 
 use self::router::{Processor, Router, Work, ASK_READY_MS, BACKLOG, UNREAD_MS};
 use crate::engines::{Engine, Progress};
