--- a/components/coordination/tests/region/main.rs
+++ b/components/coordination/tests/region/main.rs
@@ -1,5 +1,5 @@
-//! A region's routers, schedulers and engines in one clock: how much is served under uneven
-//! and too much load, and who gets how much of it.
+//! Simulated regions under uneven load and overload: their throughput, and the share of it that
+//! each customer gets.
 
 #[path = "../engines/mod.rs"]
 mod engines;
--- a/components/coordination/tests/region/setup.rs
+++ b/components/coordination/tests/region/setup.rs
@@ -1,114 +1,123 @@
-//! What a region consists of, what is asked for, and where callers come to.
+//! Configuration of a simulated region: its size, the kinds of requests, and the routers that
+//! callers connect to.
 
 use crate::engines::TOKENS_PER_MS;
 use crate::views;
 use coordination::assignment::shards;
 use state::view::View;
 
-/// Tokens that fit into an engine.
-pub(crate) const MEMORY: u64 = 500_000;
+/// KV cache capacity of an engine.
+pub(crate) const ENGINE_MEMORY_TOKENS: u64 = 500_000;
 
 /// A kind of request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Kind {
-    /// How often it is asked for, beside others.
+    /// Relative frequency.
     pub(crate) weight: f64,
-    /// Tokens of the part of its prompt that it shares with others.
-    pub(crate) shared: u32,
-    /// Tokens of its own, in the mean.
-    pub(crate) own: u32,
-    /// Time within which a first event is on time, in milliseconds.
-    pub(crate) aim_ms: u64,
+    /// Tokens of the prompt prefix that a request shares with others.
+    pub(crate) shared_tokens: u32,
+    /// Mean tokens of the rest of the prompt, unique to the request.
+    pub(crate) own_tokens: u32,
+    /// Time after arrival within which the first event is on time.
+    pub(crate) target_latency_ms: u64,
 }
 
-/// One kind only.
-pub(crate) const ALIKE: &[Kind] = &[Kind {
+/// Requests of one kind.
+pub(crate) const UNIFORM: &[Kind] = &[Kind {
     weight: 1.0,
-    shared: 13_000,
-    own: 3500,
-    aim_ms: 800,
+    shared_tokens: 13_000,
+    own_tokens: 3500,
+    target_latency_ms: 800,
 }];
 
-/// Long, middle and short ones.
+/// Requests with long, medium and short prompts.
 pub(crate) const MIXED: &[Kind] = &[
     Kind {
         weight: 0.42,
-        shared: 13_300,
-        own: 3700,
-        aim_ms: 800,
+        shared_tokens: 13_300,
+        own_tokens: 3700,
+        target_latency_ms: 800,
     },
     Kind {
         weight: 0.31,
-        shared: 6300,
-        own: 2900,
-        aim_ms: 600,
+        shared_tokens: 6300,
+        own_tokens: 2900,
+        target_latency_ms: 600,
     },
     Kind {
         weight: 0.27,
-        shared: 350,
-        own: 1100,
-        aim_ms: 500,
+        shared_tokens: 350,
+        own_tokens: 1100,
+        target_latency_ms: 500,
     },
 ];
 
-/// How a router with a bounded processor gets to what waits for it.
+/// Queue discipline of a router with a limited processor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Tasks {
-    /// Tasks take turns, one of them accepts connections, and callers keep theirs.
-    Turns,
-    /// All in the order in which it comes, each try on a connection of its own.
-    OneQueue {
-        /// Whether the router bounds what it lets in, or reads whatever comes.
-        is_bounded: bool,
+pub(crate) enum Discipline {
+    /// Batches of accepted connections alternate with the waiting tasks; callers reuse
+    /// connections.
+    RoundRobin,
+    /// Tasks run in the order of their arrival; each attempt opens a new connection.
+    SingleQueue {
+        /// Whether the router limits the connections that it admits, or reads all requests.
+        has_admission_control: bool,
     },
 }
 
-/// What a region consists of.
+/// Size and load model of a region.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Setup {
-    pub(crate) centres: usize,
+    pub(crate) data_centres: usize,
     /// Engines in each data centre.
-    pub(crate) engines: usize,
+    pub(crate) engines_per_centre: usize,
     /// Routers in each data centre.
-    pub(crate) routers: usize,
-    /// Whether each data centre's engines have a scheduler of their own.
-    pub(crate) is_divided: bool,
-    /// Messages that a scheduler takes in within 100 ms.
-    pub(crate) messages: u64,
-    /// Microseconds of a processor that a router has in each millisecond; `None` for as
-    /// many as it needs.
-    pub(crate) processor_us: Option<u64>,
-    /// How that processor gets to what waits for it.
-    pub(crate) tasks: Tasks,
-    /// What is asked for.
+    pub(crate) routers_per_centre: usize,
+    /// Whether each data centre is a shard with its own scheduler.
+    pub(crate) is_sharded: bool,
+    /// Messages that a scheduler can handle.
+    pub(crate) messages_per_100_ms: u64,
+    /// Processor time of a router; `None` for unlimited time.
+    pub(crate) processor_us_per_ms: Option<u64>,
+    /// Order in which that processor runs its tasks.
+    pub(crate) discipline: Discipline,
+    /// Kinds of requests that customers send.
     pub(crate) kinds: &'static [Kind],
 }
 
 impl Setup {
-    /// Requests in a second that engines can read, if they find all shared parts kept.
+    /// Requests per second that the engines can prefill when all shared prefixes are cached.
     pub(crate) fn capacity(&self) -> f64 {
         let weights: f64 = self.kinds.iter().map(|k| k.weight).sum();
-        let own = self.kinds.iter().map(|k| k.weight * f64::from(k.own));
-        let read = (TOKENS_PER_MS * 1000 * (self.engines * self.centres) as u64) as f64;
-        read * weights / own.sum::<f64>()
+        let own_tokens = self
+            .kinds
+            .iter()
+            .map(|k| k.weight * f64::from(k.own_tokens));
+        let prefill_per_s =
+            (TOKENS_PER_MS * 1000 * (self.engines_per_centre * self.data_centres) as u64) as f64;
+        prefill_per_s * weights / own_tokens.sum::<f64>()
     }
 
-    /// Routers of a data centre.
+    /// Positions of the routers of a data centre.
     pub(crate) fn routers_of(self, centre: usize) -> impl Iterator<Item = usize> {
-        (0..self.routers).map(move |turn| turn * self.centres + centre)
+        (0..self.routers_per_centre).map(move |n| n * self.data_centres + centre)
     }
 
-    /// Engines in several data centres, or as many in one.
+    /// View with the engines in several shards, or all of them in one.
     pub(crate) fn view(&self) -> View {
         let engine = state::config::Engine {
-            memory_tokens: MEMORY,
+            memory_tokens: ENGINE_MEMORY_TOKENS,
             event_tokens: 1,
             copy_tokens_per_s: None,
         };
         let mut view = views::view(Some(engine));
-        for (n, id) in (0..self.centres * self.engines).zip(0..) {
-            let centre = if self.is_divided { n % self.centres } else { 0 };
-            views::add(&mut view, id, &centre_name(centre), 64);
+        for (n, id) in (0..self.data_centres * self.engines_per_centre).zip(0..) {
+            let centre = if self.is_sharded {
+                n % self.data_centres
+            } else {
+                0
+            };
+            views::add(&mut view, id, &data_centre_name(centre), 64);
         }
         let all = shards(&view);
         views::assign(&mut view, all, 1);
@@ -116,22 +125,24 @@
     }
 }
 
-pub(crate) fn centre_name(n: usize) -> String {
+/// Name of the data centre with a number.
+pub(crate) fn data_centre_name(n: usize) -> String {
     format!("dc-{n}")
 }
 
-/// Where a customer's callers come to, as routers with weights.
+/// Routers that a customer's callers connect to, with weights.
 #[derive(Clone, Debug)]
 pub(crate) struct Callers {
+    /// Routers of the first attempt.
     pub(crate) first: Vec<(usize, f64)>,
-    /// Where they come to once they were refused.
-    pub(crate) again: Vec<(usize, f64)>,
-    /// Whether all come to the first of the routers that takes them.
-    pub(crate) is_one_by_one: bool,
+    /// Routers of the retry.
+    pub(crate) retry: Vec<(usize, f64)>,
+    /// Whether all attempts go to the first router in rotation, instead of a random one.
+    pub(crate) uses_first_available: bool,
 }
 
 impl Callers {
-    /// Callers that always come to the same routers.
+    /// Callers that connect to the given routers with equal weights in both attempts.
     pub(crate) fn at<I>(routers: I) -> Self
     where
         I: IntoIterator<Item = usize>,
@@ -139,18 +150,18 @@
         let all: Vec<(usize, f64)> = routers.into_iter().map(|n| (n, 1.0)).collect();
         Callers {
             first: all.clone(),
-            again: all,
-            is_one_by_one: false,
+            retry: all,
+            uses_first_available: false,
         }
     }
 
-    /// Callers behind one address, all of whom come to the first router that takes them.
-    pub(crate) fn one_by_one<I>(routers: I) -> Self
+    /// Callers behind one address, all of which connect to the first router in rotation.
+    pub(crate) fn behind_one_address<I>(routers: I) -> Self
     where
         I: IntoIterator<Item = usize>,
     {
         Callers {
-            is_one_by_one: true,
+            uses_first_available: true,
             ..Callers::at(routers)
         }
     }
--- a/components/coordination/tests/region/simulation.rs
+++ b/components/coordination/tests/region/simulation.rs
@@ -1,16 +1,17 @@
-//! Routers, schedulers and engines of one region in one clock.
+//! Deterministic simulation of the routers, schedulers and engines of one region.
 //!
-//! Only the pure decisions run. Schedulers take in a bounded number of messages in a time,
-//! as on a small part of a core: what comes beyond that waits, and is answered late. They
-//! tell each other what they have given, as those of one service do.
+//! The simulation runs the decision code without I/O. A scheduler handles a limited number of
+//! messages per time, as on a fraction of a core; further messages wait in its inbox and are
+//! answered late. Schedulers report the service that they granted to each other, as all
+//! schedulers of a service do.
 #![expect(clippy::unwrap_used, reason = "a helper that panics fails its test")]
 
 mod router;
 mod single_queue;
 
-use self::router::{Processor, Router, Work, ASK_READY_MS, BACKLOG, UNREAD_MS};
+use self::router::{Protection, Router, Task, BACKLOG_MAX, CALLER_TIMEOUT_MS, READINESS_CHECK_MS};
 use crate::engines::{Engine, Progress};
-use crate::setup::{centre_name, Callers, Setup, Tasks, MEMORY};
+use crate::setup::{data_centre_name, Callers, Discipline, Setup, ENGINE_MEMORY_TOKENS};
 use crate::views::{name, SERVICE};
 use coordination::dispatcher::{
     endpoints, Arrival, Bounds, Dispatcher, Effect, Handle, Location, Rejection,
@@ -18,7 +19,7 @@
 use coordination::messages::{Class, Grant, Refusal, Report, Served, Verdict};
 use coordination::prompt::Prompt;
 use coordination::regions::Regions;
-use coordination::scheduler::{Effect as Given, Scheduler, Session};
+use coordination::scheduler::{Effect as Decision, Scheduler, Session};
 use rand::distr::weighted::WeightedIndex;
 use rand::distr::Distribution;
 use rand::{Rng, SeedableRng};
@@ -28,106 +29,129 @@
 use state::view::View;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Shared parts of each kind of request.
-const SHARED: u64 = 100;
-/// Parts that the requests of one customer share with no others, and how often they do.
-const OWN_PARTS: u64 = 4;
-const OWN_PARTS_SHARE: f64 = 0.4;
-/// Tokens of an answer.
-const ANSWER: u32 = 200;
-/// Time of a message on its way, in milliseconds.
-const WAY_MS: u64 = 2;
-/// Time between two looks at how long what waits has waited, in milliseconds.
-const LOOK_MS: u64 = 100;
-
-/// A request of a customer, at its first or second try.
+/// Prompt prefixes of each kind of request that all customers share.
+const SHARED_PREFIXES: u64 = 100;
+/// Prompt prefixes of each kind of request that only the requests of one customer share.
+const CUSTOMER_PREFIXES: u64 = 4;
+/// Probability that a request starts with a prefix of its customer, if there are several kinds.
+const CUSTOMER_PREFIX_PROBABILITY: f64 = 0.4;
+/// Tokens that an engine generates for each request.
+const ANSWER_TOKENS: u32 = 200;
+/// Network latency of a message between a router and a scheduler or between schedulers.
+const MESSAGE_LATENCY_MS: u64 = 2;
+/// Interval at which waiting requests are checked against their target latency.
+const OVERDUE_CHECK_MS: u64 = 100;
+
+/// A request of a customer, in its first attempt or its only retry.
 #[derive(Clone, Debug)]
-struct Job {
+struct Request {
     customer: u32,
-    /// Number of its kind.
+    /// Position of the request's kind in [`Setup::kinds`].
     kind: usize,
-    aim_ms: u64,
+    /// Time after arrival within which the first event is on time.
+    target_latency_ms: u64,
+    /// Identifier and tokens of each part of the prompt.
     parts: Vec<(u64, u32)>,
-    arrived: u64,
-    /// When this try came.
-    came: u64,
-    sent: u64,
-    is_again: bool,
+    /// Start of the first attempt.
+    arrived_ms: u64,
+    /// Start of the current attempt.
+    attempted_ms: u64,
+    /// Time of the dispatch to an engine; 0 before it.
+    sent_ms: u64,
+    is_retry: bool,
 }
 
-impl Job {
+impl Request {
+    /// Tokens of the prompt.
     fn tokens(&self) -> u64 {
         self.parts.iter().map(|(_, n)| u64::from(*n)).sum()
     }
 }
 
-enum Mail {
+/// A message between routers and schedulers, given by their positions.
+enum Message {
+    /// To a scheduler, from a router.
     Report(usize, usize, Report),
+    /// To a router.
     Grant(usize, Grant),
+    /// To a router.
     Refusal(usize, Refusal),
+    /// To a scheduler, from another scheduler.
     Served(usize, Served),
 }
 
+/// A scheduler, its sessions and the messages that it has not handled.
 pub(crate) struct Shard {
     scheduler: Scheduler,
+    /// Session of each router.
     sessions: BTreeMap<usize, Session>,
+    /// Unhandled reports with the router that sent them.
     inbox: VecDeque<(usize, Report)>,
-    /// Hundredths of messages that it may still take in.
-    credit: u64,
-    /// Asks that it was told.
+    /// Messages that the scheduler may handle now, in hundredths of a message.
+    credit_percent: u64,
+    /// Asks that the scheduler has handled.
     pub(crate) asks: u64,
 }
 
-/// What callers got.
+/// Outcomes of a customer's requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Tally {
-    pub(crate) asked: u64,
+    pub(crate) requests: u64,
+    /// Requests whose first event came within their target latency.
     pub(crate) on_time: u64,
+    /// Requests whose first event came after their target latency.
     pub(crate) late: u64,
+    /// Requests that were refused in both attempts.
     pub(crate) refused: u64,
-    /// Cost of what engines were sent, in tokens.
-    pub(crate) begun: u64,
+    /// Prompt tokens of all requests dispatched to engines.
+    pub(crate) dispatched_tokens: u64,
 }
 
-/// What a customer asked and got in one second.
+/// Demand and service of a customer in one second.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Second {
-    /// Tokens of the tries that came.
-    pub(crate) asked: u64,
-    /// Tokens of what engines began to read.
-    pub(crate) got: u64,
-    /// Tries that were refused.
+    /// Prompt tokens of all attempts that started.
+    pub(crate) asked_tokens: u64,
+    /// Prompt tokens of the requests whose first event came.
+    pub(crate) served_tokens: u64,
+    /// Refused attempts.
     pub(crate) refused: u64,
-    /// Whether a try waited past its aim.
-    pub(crate) waited: bool,
+    /// Whether an attempt waited for an engine longer than its target latency.
+    pub(crate) is_overdue: bool,
 }
 
-pub(crate) struct World {
-    pub(crate) now: u64,
+/// A region: its routers, schedulers and engines, and the callers of all customers.
+pub(crate) struct Simulation {
+    pub(crate) now_ms: u64,
     rng: Pcg64,
     setup: Setup,
     view: View,
     routers: Vec<Router>,
     pub(crate) shards: Vec<Shard>,
     engines: BTreeMap<EndpointId, Engine<(usize, Handle)>>,
-    mail: BTreeMap<(u64, u64), Mail>,
-    mails: u64,
-    /// Callers that come again, by when.
-    again: BTreeMap<(u64, u64), Job>,
-    jobs: u64,
+    /// Messages by time of arrival and number of sending.
+    in_flight: BTreeMap<(u64, u64), Message>,
+    messages_sent: u64,
+    /// Refused requests by the time of their retry and a unique number.
+    retries: BTreeMap<(u64, u64), Request>,
+    /// Latest unique number of a request or retry.
+    sequence: u64,
     callers: BTreeMap<u32, Callers>,
     pub(crate) tallies: BTreeMap<u32, Tally>,
-    /// By second and customer.
+    /// Demand and service by second and customer.
     pub(crate) seconds: BTreeMap<u64, BTreeMap<u32, Second>>,
 }
 
-impl World {
+impl Simulation {
+    /// Builds a region and connects all routers to all schedulers.
     pub(crate) fn new(setup: Setup, callers: BTreeMap<u32, Callers>, seed: u64) -> Self {
         let view = setup.view();
         let shards = view.assignments.iter().map(|assignment| {
             let mut scheduler = Scheduler::new(assignment.epoch, Millis(0));
             scheduler.enable_batching();
-            scheduler.slots().set_memory_tokens(Some(MEMORY));
+            scheduler
+                .slots()
+                .set_memory_tokens(Some(ENGINE_MEMORY_TOKENS));
             for (id, slots, lead, leaving) in endpoints(&view, &assignment.shard) {
                 scheduler.slots().set(id, slots, lead, leaving);
             }
@@ -135,14 +159,14 @@
                 scheduler,
                 sessions: BTreeMap::new(),
                 inbox: VecDeque::new(),
-                credit: 0,
+                credit_percent: 0,
                 asks: 0,
             }
         });
         let router = |n: usize| {
             let home = Location {
                 region: name("main"),
-                data_centre: name(&centre_name(n % setup.centres)),
+                data_centre: name(&data_centre_name(n % setup.data_centres)),
                 incarnation: n as u64,
             };
             let bounds = Bounds {
@@ -151,417 +175,454 @@
             };
             Router {
                 dispatcher: Dispatcher::new(home, bounds),
-                jobs: BTreeMap::new(),
+                requests: BTreeMap::new(),
                 backlog: VecDeque::new(),
-                work: VecDeque::new(),
-                in_order: VecDeque::new(),
-                until_accept: 0,
-                kept: BTreeMap::new(),
+                tasks: VecDeque::new(),
+                queue: VecDeque::new(),
+                tasks_until_accept: 0,
+                idle_connections: BTreeMap::new(),
                 credit_us: 0,
-                processor: Processor::default(),
+                protection: Protection::default(),
             }
         };
         let ids = view.config.endpoints.keys();
-        let mut world = World {
-            now: 0,
+        let mut simulation = Simulation {
+            now_ms: 0,
             rng: Pcg64::seed_from_u64(seed),
             setup,
             shards: shards.collect(),
-            routers: (0..setup.centres * setup.routers).map(router).collect(),
+            routers: (0..setup.data_centres * setup.routers_per_centre)
+                .map(router)
+                .collect(),
             engines: ids.map(|id| (*id, Engine::default())).collect(),
             view,
-            mail: BTreeMap::new(),
-            mails: 0,
-            again: BTreeMap::new(),
-            jobs: 0,
+            in_flight: BTreeMap::new(),
+            messages_sent: 0,
+            retries: BTreeMap::new(),
+            sequence: 0,
             callers,
             tallies: BTreeMap::new(),
             seconds: BTreeMap::new(),
         };
-        for n in 0..world.routers.len() {
-            for vm in world.places() {
-                let effects = world.routers[n].dispatcher.link_up(Millis(0), &vm);
-                world.act(n, effects);
+        for n in 0..simulation.routers.len() {
+            for vm in simulation.scheduler_vms() {
+                let effects = simulation.routers[n].dispatcher.link_up(Millis(0), &vm);
+                simulation.apply_effects(n, effects);
             }
         }
-        world
+        simulation
     }
 
-    fn places(&self) -> Vec<Name> {
-        let places = self.view.assignments.iter().map(|a| a.node.vm.clone());
-        places.collect()
+    /// VMs that run the schedulers of all shards.
+    fn scheduler_vms(&self) -> Vec<Name> {
+        let vms = self.view.assignments.iter().map(|a| a.node.vm.clone());
+        vms.collect()
     }
 
-    fn post(&mut self, mail: Mail) {
-        self.mails += 1;
-        self.mail.insert((self.now + WAY_MS, self.mails), mail);
+    /// Sends a message, which arrives after [`MESSAGE_LATENCY_MS`].
+    fn send(&mut self, message: Message) {
+        self.messages_sent += 1;
+        self.in_flight.insert(
+            (self.now_ms + MESSAGE_LATENCY_MS, self.messages_sent),
+            message,
+        );
     }
 
+    /// Demand and service of a customer in the current second.
     fn second(&mut self, customer: u32) -> &mut Second {
-        let all = self.seconds.entry(self.now / 1000).or_default();
+        let all = self.seconds.entry(self.now_ms / 1000).or_default();
         all.entry(customer).or_default()
     }
 
-    /// A new request of a customer.
+    /// Creates and submits a request of a customer, with a random kind and prompt.
     fn arrive(&mut self, customer: u32) {
-        self.jobs += 1;
+        self.sequence += 1;
         let weights = WeightedIndex::new(self.setup.kinds.iter().map(|k| k.weight)).unwrap();
-        let number = weights.sample(&mut self.rng);
-        let kind = self.setup.kinds[number];
-        let own = self.rng.random_range(kind.own * 2 / 7..kind.own * 12 / 7);
-        let job = Job {
+        let kind_index = weights.sample(&mut self.rng);
+        let kind = self.setup.kinds[kind_index];
+        let own_tokens = self
+            .rng
+            .random_range(kind.own_tokens * 2 / 7..kind.own_tokens * 12 / 7);
+        let request = Request {
             customer,
-            kind: number,
-            aim_ms: kind.aim_ms,
+            kind: kind_index,
+            target_latency_ms: kind.target_latency_ms,
             parts: vec![
-                (self.part(customer, number), kind.shared),
-                (1 << 40 | self.jobs, own),
+                (self.shared_part(customer, kind_index), kind.shared_tokens),
+                (1 << 40 | self.sequence, own_tokens),
             ],
-            arrived: self.now,
-            came: self.now,
-            sent: 0,
-            is_again: false,
+            arrived_ms: self.now_ms,
+            attempted_ms: self.now_ms,
+            sent_ms: 0,
+            is_retry: false,
         };
-        self.tallies.entry(customer).or_default().asked += 1;
-        self.queue(job);
+        self.tallies.entry(customer).or_default().requests += 1;
+        self.submit(request);
     }
 
-    /// A part that a request shares with others.
-    fn part(&mut self, customer: u32, kind: usize) -> u64 {
+    /// Draws the prompt prefix of a request: with [`CUSTOMER_PREFIX_PROBABILITY`] one of its
+    /// customer, otherwise one that all customers share.
+    fn shared_part(&mut self, customer: u32, kind: usize) -> u64 {
         let kind = (kind as u64) << 32;
-        if self.setup.kinds.len() > 1 && self.rng.random_bool(OWN_PARTS_SHARE) {
-            let part = self.rng.random_range(0..OWN_PARTS);
-            return kind | (SHARED + u64::from(customer) * OWN_PARTS + part);
+        if self.setup.kinds.len() > 1 && self.rng.random_bool(CUSTOMER_PREFIX_PROBABILITY) {
+            let part = self.rng.random_range(0..CUSTOMER_PREFIXES);
+            return kind | (SHARED_PREFIXES + u64::from(customer) * CUSTOMER_PREFIXES + part);
         }
-        kind | self.rng.random_range(0..SHARED)
+        kind | self.rng.random_range(0..SHARED_PREFIXES)
     }
 
-    /// The router that a try comes to.
-    fn router_of(&mut self, job: &Job) -> usize {
-        let callers = &self.callers[&job.customer];
-        let routers = match job.is_again {
-            true => &callers.again,
+    /// Chooses the router of an attempt, among those in rotation if there are any.
+    fn choose_router(&mut self, request: &Request) -> usize {
+        let callers = &self.callers[&request.customer];
+        let routers = match request.is_retry {
+            true => &callers.retry,
             false => &callers.first,
         };
-        let open = |(n, _): &&(usize, f64)| !self.routers[*n].processor.is_out;
-        let mut open: Vec<(usize, f64)> = routers.iter().filter(open).copied().collect();
-        if open.is_empty() {
-            open.clone_from(routers);
+        let is_available = |(n, _): &&(usize, f64)| !self.routers[*n].protection.is_out_of_rotation;
+        let mut available: Vec<(usize, f64)> =
+            routers.iter().filter(is_available).copied().collect();
+        if available.is_empty() {
+            available.clone_from(routers);
         }
-        if callers.is_one_by_one {
-            return open[0].0;
+        if callers.uses_first_available {
+            return available[0].0;
         }
-        let weights = WeightedIndex::new(open.iter().map(|(_, w)| *w)).unwrap();
-        open[weights.sample(&mut self.rng)].0
+        let weights = WeightedIndex::new(available.iter().map(|(_, w)| *w)).unwrap();
+        available[weights.sample(&mut self.rng)].0
     }
 
-    fn queue(&mut self, mut job: Job) {
-        let at = self.router_of(&job);
-        job.came = self.now;
-        self.second(job.customer).asked += job.tokens();
-        if self.setup.processor_us.is_none() {
-            return self.take(at, job);
+    /// Starts an attempt at a router. The connection waits in the router's backlog unless it is
+    /// already open or the router's processor is unlimited.
+    fn submit(&mut self, mut request: Request) {
+        let index = self.choose_router(&request);
+        request.attempted_ms = self.now_ms;
+        self.second(request.customer).asked_tokens += request.tokens();
+        if self.setup.processor_us_per_ms.is_none() {
+            return self.admit(index, request);
         }
-        if self.setup.tasks != Tasks::Turns {
-            return self.queue_in_order(at, job);
+        if self.setup.discipline != Discipline::RoundRobin {
+            return self.submit_in_order(index, request);
         }
-        if self.uses_kept(at, job.customer) {
-            return self.push(at, Work::Try(job));
+        if self.take_idle_connection(index, request.customer) {
+            return self.enqueue(index, Task::Request(request));
         }
-        if self.routers[at].backlog.len() >= BACKLOG {
-            return self.refused(job, UNREAD_MS as u32);
+        if self.routers[index].backlog.len() >= BACKLOG_MAX {
+            return self.reject(request, CALLER_TIMEOUT_MS as u32);
         }
-        self.routers[at].backlog.push_back(job);
+        self.routers[index].backlog.push_back(request);
     }
 
-    fn push(&mut self, at: usize, work: Work) {
-        let router = &mut self.routers[at];
-        match self.setup.tasks {
-            Tasks::Turns => router.work.push_back(work),
-            Tasks::OneQueue { .. } => router.in_order.push_back((self.now, work)),
+    /// Queues a task for a router's processor.
+    fn enqueue(&mut self, index: usize, work: Task) {
+        let router = &mut self.routers[index];
+        match self.setup.discipline {
+            Discipline::RoundRobin => router.tasks.push_back(work),
+            Discipline::SingleQueue { .. } => router.queue.push_back((self.now_ms, work)),
         }
     }
 
-    /// Lets a router take a try in.
-    fn take(&mut self, at: usize, job: Job) {
-        let prompt = Prompt::new(job.parts.iter().copied(), ANSWER / 2);
+    /// Passes a request to a router's dispatcher.
+    fn admit(&mut self, index: usize, request: Request) {
+        let prompt = Prompt::new(request.parts.iter().copied(), ANSWER_TOKENS / 2);
         let arrival = Arrival {
             service: SERVICE,
             class: Class {
-                customer: CustomerId(job.customer),
-                rule: u16::try_from(job.kind).unwrap(),
+                customer: CustomerId(request.customer),
+                rule: u16::try_from(request.kind).unwrap(),
             },
             weight: 1,
             rate: 0,
             concurrency: 0,
             queue: 512,
-            hint: prompt.tokens() as u32 + ANSWER,
+            hint: prompt.tokens() as u32 + ANSWER_TOKENS,
             priority: 0,
-            aim: Millis(job.arrived + job.aim_ms).max(Millis(self.now)),
+            aim: Millis(request.arrived_ms + request.target_latency_ms).max(Millis(self.now_ms)),
             prompt,
             bytes: 0,
             regions: Regions::default(),
-            deadline: Millis(job.arrived + 10_000),
+            deadline: Millis(request.arrived_ms + 10_000),
         };
-        let router = &mut self.routers[at];
-        let arrived = (router.dispatcher).arrive(Millis(self.now), &self.view, arrival);
-        match arrived {
+        let router = &mut self.routers[index];
+        let outcome = (router.dispatcher).arrive(Millis(self.now_ms), &self.view, arrival);
+        match outcome {
             Ok((handle, effects)) => {
-                router.jobs.insert(handle, job);
-                self.act(at, effects);
+                router.requests.insert(handle, request);
+                self.apply_effects(index, effects);
             }
-            Err(Rejection::Late { after_ms }) => self.refused(job, after_ms),
-            Err(_) => self.refused(job, 300),
+            Err(Rejection::Late { after_ms }) => self.reject(request, after_ms),
+            Err(_) => self.reject(request, 300),
         }
     }
 
-    fn refused(&mut self, mut job: Job, after_ms: u32) {
-        self.second(job.customer).refused += 1;
-        if job.is_again {
-            self.tallies.entry(job.customer).or_default().refused += 1;
+    /// Refuses an attempt. Its caller retries after `after_ms`, unless this was the retry.
+    fn reject(&mut self, mut request: Request, after_ms: u32) {
+        self.second(request.customer).refused += 1;
+        if request.is_retry {
+            self.tallies.entry(request.customer).or_default().refused += 1;
             return;
         }
-        job.is_again = true;
-        self.jobs += 1;
-        let at = self.now + u64::from(after_ms);
-        self.again.insert((at, self.jobs), job);
+        request.is_retry = true;
+        self.sequence += 1;
+        let due_ms = self.now_ms + u64::from(after_ms);
+        self.retries.insert((due_ms, self.sequence), request);
     }
 
-    fn act(&mut self, at: usize, effects: Vec<Effect>) {
+    /// Carries out the decisions of a router's dispatcher.
+    fn apply_effects(&mut self, index: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Report(assignment, report) => {
                     let all = &self.view.assignments;
                     let shard = all.iter().position(|a| a.epoch == assignment.epoch);
-                    self.post(Mail::Report(shard.unwrap(), at, report));
+                    self.send(Message::Report(shard.unwrap(), index, report));
                 }
                 Effect::Dispatch(handle, endpoint) => {
-                    let job = self.routers[at].jobs.get_mut(&handle).unwrap();
-                    job.sent = self.now;
+                    let request = self.routers[index].requests.get_mut(&handle).unwrap();
+                    request.sent_ms = self.now_ms;
                     let engine = self.engines.get_mut(&endpoint).unwrap();
-                    let all = job.tokens();
-                    let missing = all - engine.cached_tokens(&job.parts);
-                    engine.send((at, handle), &job.parts, missing);
-                    self.tallies.entry(job.customer).or_default().begun += all;
+                    let tokens = request.tokens();
+                    let missing = tokens - engine.cached_tokens(&request.parts);
+                    engine.send((index, handle), &request.parts, missing);
+                    self.tallies
+                        .entry(request.customer)
+                        .or_default()
+                        .dispatched_tokens += tokens;
                 }
                 Effect::Refuse(handle, refusal) => {
-                    let job = self.routers[at].jobs.remove(&handle).unwrap();
-                    self.keep(at, job.customer);
-                    self.refused(job, refusal.after_ms);
+                    let request = self.routers[index].requests.remove(&handle).unwrap();
+                    self.keep_connection(index, request.customer);
+                    self.reject(request, refusal.after_ms);
                 }
                 Effect::Expire(handle) | Effect::Unserved(handle) => {
-                    let job = self.routers[at].jobs.remove(&handle).unwrap();
-                    self.refused(job, 300);
+                    let request = self.routers[index].requests.remove(&handle).unwrap();
+                    self.reject(request, 300);
                 }
             }
         }
     }
 
-    /// One millisecond.
+    /// Advances the region by a millisecond.
     fn step(&mut self) {
-        self.now += 1;
-        while let Some(entry) = self.again.first_entry() {
-            if entry.key().0 > self.now {
+        self.now_ms += 1;
+        while let Some(entry) = self.retries.first_entry() {
+            if entry.key().0 > self.now_ms {
                 break;
             }
-            let job = entry.remove();
-            self.queue(job);
+            let request = entry.remove();
+            self.submit(request);
         }
         self.deliver();
-        for at in 0..self.routers.len() {
-            self.process(at);
+        for index in 0..self.routers.len() {
+            self.run_processor(index);
         }
-        if self.now.is_multiple_of(ASK_READY_MS) {
-            self.ask_ready();
+        if self.now_ms.is_multiple_of(READINESS_CHECK_MS) {
+            self.check_readiness();
         }
         for n in 0..self.shards.len() {
-            self.schedule(n);
+            self.run_scheduler(n);
         }
-        self.work();
-        if self.now.is_multiple_of(20) {
+        self.run_engines();
+        if self.now_ms.is_multiple_of(20) {
             self.tick();
         }
-        if self.now.is_multiple_of(LOOK_MS) {
-            self.look();
+        if self.now_ms.is_multiple_of(OVERDUE_CHECK_MS) {
+            self.mark_overdue();
         }
     }
 
+    /// Runs the timers of all dispatchers and schedulers.
     fn tick(&mut self) {
-        let now = Millis(self.now);
-        for at in 0..self.routers.len() {
-            let effects = self.routers[at].dispatcher.tick(now, &self.view);
-            self.act(at, effects);
+        let now = Millis(self.now_ms);
+        for index in 0..self.routers.len() {
+            let effects = self.routers[index].dispatcher.tick(now, &self.view);
+            self.apply_effects(index, effects);
         }
         for n in 0..self.shards.len() {
-            let given = self.shards[n].scheduler.tick(now);
-            self.give(n, given);
-            self.tell(n);
+            let decisions = self.shards[n].scheduler.tick(now);
+            self.apply_decisions(n, decisions);
+            self.share_served(n);
         }
     }
 
-    /// Lets a scheduler tell the others what it has given, each at its own moment.
-    fn tell(&mut self, n: usize) {
+    /// Sends the service granted by a scheduler to all others, once a second and at a different
+    /// time for each scheduler.
+    fn share_served(&mut self, n: usize) {
         let phase = 1000 * n / self.shards.len() / 20 * 20;
-        if self.now % 1000 != phase as u64 || self.shards.len() == 1 {
+        if self.now_ms % 1000 != phase as u64 || self.shards.len() == 1 {
             return;
         }
         let served = self.shards[n].scheduler.take_served();
         for other in (0..self.shards.len()).filter(|other| *other != n) {
-            self.post(Mail::Served(other, served.clone()));
+            self.send(Message::Served(other, served.clone()));
         }
     }
 
-    /// Notes whose requests wait past their aim.
-    fn look(&mut self) {
-        let late = |job: &&Job| job.sent == 0 && self.now - job.came > job.aim_ms;
-        let jobs = self.routers.iter().flat_map(|r| r.jobs.values());
-        let late: Vec<u32> = jobs.filter(late).map(|job| job.customer).collect();
-        for customer in late {
-            self.second(customer).waited = true;
+    /// Marks the customers with a request that waits for an engine longer than its target latency.
+    fn mark_overdue(&mut self) {
+        let is_overdue = |request: &&Request| {
+            request.sent_ms == 0 && self.now_ms - request.attempted_ms > request.target_latency_ms
+        };
+        let requests = self.routers.iter().flat_map(|r| r.requests.values());
+        let overdue: Vec<u32> = requests
+            .filter(is_overdue)
+            .map(|request| request.customer)
+            .collect();
+        for customer in overdue {
+            self.second(customer).is_overdue = true;
         }
     }
 
-    fn grant(&mut self, at: usize, grant: Grant) {
-        let effects = (self.routers[at].dispatcher).grant(Millis(self.now), grant);
-        self.act(at, effects);
+    /// Passes a grant to a router's dispatcher.
+    fn handle_grant(&mut self, index: usize, grant: Grant) {
+        let effects = (self.routers[index].dispatcher).grant(Millis(self.now_ms), grant);
+        self.apply_effects(index, effects);
     }
 
-    fn refuse(&mut self, at: usize, refusal: Refusal) {
-        let effects = (self.routers[at].dispatcher).refuse(Millis(self.now), refusal);
-        self.act(at, effects);
+    /// Passes a scheduler's refusal to a router's dispatcher.
+    fn handle_refusal(&mut self, index: usize, refusal: Refusal) {
+        let effects = (self.routers[index].dispatcher).refuse(Millis(self.now_ms), refusal);
+        self.apply_effects(index, effects);
     }
 
+    /// Delivers the messages that are due. Messages to a router with a limited processor become
+    /// tasks of that processor.
     fn deliver(&mut self) {
-        while let Some(entry) = self.mail.first_entry() {
-            if entry.key().0 > self.now {
+        while let Some(entry) = self.in_flight.first_entry() {
+            if entry.key().0 > self.now_ms {
                 return;
             }
             match entry.remove() {
-                Mail::Report(n, at, report) => self.shards[n].inbox.push_back((at, report)),
-                Mail::Grant(at, grant) => match self.setup.processor_us {
-                    Some(_) => self.push(at, Work::Grant(grant)),
-                    None => self.grant(at, grant),
+                Message::Report(n, index, report) => {
+                    self.shards[n].inbox.push_back((index, report))
+                }
+                Message::Grant(index, grant) => match self.setup.processor_us_per_ms {
+                    Some(_) => self.enqueue(index, Task::Grant(grant)),
+                    None => self.handle_grant(index, grant),
                 },
-                Mail::Refusal(at, refusal) => match self.setup.processor_us {
-                    Some(_) => self.push(at, Work::Refusal(refusal)),
-                    None => self.refuse(at, refusal),
+                Message::Refusal(index, refusal) => match self.setup.processor_us_per_ms {
+                    Some(_) => self.enqueue(index, Task::Refusal(refusal)),
+                    None => self.handle_refusal(index, refusal),
                 },
-                Mail::Served(n, served) => self.shards[n].scheduler.merge_served(&served),
+                Message::Served(n, served) => self.shards[n].scheduler.merge_served(&served),
             }
         }
     }
 
-    /// Lets a scheduler take in what it can in this millisecond.
-    fn schedule(&mut self, n: usize) {
-        let now = Millis(self.now);
+    /// Lets a scheduler handle as many messages as its credit allows in this millisecond.
+    fn run_scheduler(&mut self, n: usize) {
+        let now = Millis(self.now_ms);
         let shard = &mut self.shards[n];
-        shard.credit = (shard.credit + self.setup.messages).min(100 * self.setup.messages);
-        let mut given = coordination::scheduler::Effects::new();
-        while shard.credit >= 100 {
-            let Some((at, report)) = shard.inbox.pop_front() else {
+        shard.credit_percent = (shard.credit_percent + self.setup.messages_per_100_ms)
+            .min(100 * self.setup.messages_per_100_ms);
+        let mut decisions = coordination::scheduler::Effects::new();
+        while shard.credit_percent >= 100 {
+            let Some((index, report)) = shard.inbox.pop_front() else {
                 break;
             };
-            shard.credit -= 100;
+            shard.credit_percent -= 100;
             if let Report::Hello(hello) = report {
-                let older = shard.sessions.get(&at).copied();
-                let session = shard.scheduler.open_session(now, older, &hello);
-                shard.sessions.insert(at, session);
+                let previous = shard.sessions.get(&index).copied();
+                let session = shard.scheduler.open_session(now, previous, &hello);
+                shard.sessions.insert(index, session);
                 continue;
             }
             shard.asks += u64::from(matches!(report, Report::Ask(_)));
-            if let Some(session) = shard.sessions.get(&at) {
-                given.extend(shard.scheduler.handle_report(now, *session, report));
+            if let Some(session) = shard.sessions.get(&index) {
+                decisions.extend(shard.scheduler.handle_report(now, *session, report));
             }
         }
-        given.extend(shard.scheduler.flush(now));
-        self.give(n, given);
+        decisions.extend(shard.scheduler.flush(now));
+        self.apply_decisions(n, decisions);
     }
 
-    fn give(&mut self, n: usize, given: coordination::scheduler::Effects) {
-        for effect in given {
-            let of = |session: Session| {
+    /// Sends the grants and refusals of a scheduler to the routers.
+    fn apply_decisions(&mut self, n: usize, decisions: coordination::scheduler::Effects) {
+        for effect in decisions {
+            let router_of = |session: Session| {
                 let sessions = &self.shards[n].sessions;
                 let found = sessions.iter().find(|(_, s)| **s == session);
                 *found.unwrap().0
             };
             match effect {
-                Given::Grant(session, grant) => {
-                    let mail = Mail::Grant(of(session), grant);
-                    self.post(mail);
+                Decision::Grant(session, grant) => {
+                    let message = Message::Grant(router_of(session), grant);
+                    self.send(message);
                 }
-                Given::Refuse(session, refusal) => {
-                    let mail = Mail::Refusal(of(session), refusal);
-                    self.post(mail);
+                Decision::Refuse(session, refusal) => {
+                    let message = Message::Refusal(router_of(session), refusal);
+                    self.send(message);
                 }
-                Given::RequestInventory(_) | Given::Ejected(_) | Given::Restored(_) => {}
+                Decision::RequestInventory(_) | Decision::Ejected(_) | Decision::Restored(_) => {}
             }
         }
     }
 
-    fn work(&mut self) {
-        let now = Millis(self.now);
+    /// Advances all engines by a millisecond, and reports first events and ends to the routers.
+    fn run_engines(&mut self) {
+        let now = Millis(self.now_ms);
         let mut all = Vec::new();
         for engine in self.engines.values_mut() {
-            all.extend(engine.step(self.now));
+            all.extend(engine.step(self.now_ms));
         }
         for progress in all {
             match progress {
-                Progress::FirstEvent((at, handle)) => {
-                    let router = &mut self.routers[at];
-                    let job = &router.jobs[&handle];
-                    let (customer, tokens) = (job.customer, job.tokens());
-                    let is_on_time = self.now - job.arrived <= job.aim_ms;
+                Progress::FirstEvent((index, handle)) => {
+                    let router = &mut self.routers[index];
+                    let request = &router.requests[&handle];
+                    let (customer, tokens) = (request.customer, request.tokens());
+                    let is_on_time = self.now_ms - request.arrived_ms <= request.target_latency_ms;
                     let tally = self.tallies.entry(customer).or_default();
                     match is_on_time {
                         true => tally.on_time += 1,
                         false => tally.late += 1,
                     }
-                    let took_ms = u32::try_from(self.now - job.sent).ok();
+                    let took_ms = u32::try_from(self.now_ms - request.sent_ms).ok();
                     let effects = router.dispatcher.began(now, handle, took_ms);
-                    self.second(customer).got += tokens;
-                    self.act(at, effects);
+                    self.second(customer).served_tokens += tokens;
+                    self.apply_effects(index, effects);
                 }
-                Progress::Ended((at, handle)) => {
-                    let router = &mut self.routers[at];
-                    let job = router.jobs.remove(&handle).unwrap();
-                    let cost = job.tokens() as u32 + ANSWER;
-                    let customer = job.customer;
+                Progress::Ended((index, handle)) => {
+                    let router = &mut self.routers[index];
+                    let request = router.requests.remove(&handle).unwrap();
+                    let cost = request.tokens() as u32 + ANSWER_TOKENS;
+                    let customer = request.customer;
                     let effects = router.dispatcher.done(now, handle, cost, Verdict::Fine);
-                    self.act(at, effects);
-                    if self.setup.processor_us.is_some() {
-                        self.keep(at, customer);
-                        self.push(at, Work::Relay);
+                    self.apply_effects(index, effects);
+                    if self.setup.processor_us_per_ms.is_some() {
+                        self.keep_connection(index, customer);
+                        self.enqueue(index, Task::Relay);
                     }
                 }
             }
         }
     }
 
-    /// Lets customers ask, each at a part of what all engines can do.
+    /// Runs for `ms`, in which each customer sends requests at a fraction of the engines' capacity.
     pub(crate) fn run(&mut self, ms: u64, loads: &[(u32, f64)]) {
         let rate = self.setup.capacity() / 1000.0;
         for _ in 0..ms {
             for (customer, load) in loads {
-                let mut left = load * rate;
-                while left > 0.0 {
-                    if self.rng.random_bool(left.min(1.0)) {
+                let mut expected = load * rate;
+                while expected > 0.0 {
+                    if self.rng.random_bool(expected.min(1.0)) {
                         self.arrive(*customer);
                     }
-                    left -= 1.0;
+                    expected -= 1.0;
                 }
             }
             self.step();
         }
     }
 
+    /// Sum of the tallies of all customers.
     pub(crate) fn total(&self) -> Tally {
         let mut total = Tally::default();
         for tally in self.tallies.values() {
-            total.asked += tally.asked;
+            total.requests += tally.requests;
             total.on_time += tally.on_time;
             total.late += tally.late;
             total.refused += tally.refused;
-            total.begun += tally.begun;
+            total.dispatched_tokens += tally.dispatched_tokens;
         }
         total
     }
--- a/components/coordination/tests/region/simulation/router.rs
+++ b/components/coordination/tests/region/simulation/router.rs
@@ -1,7 +1,7 @@
-//! A router with a bounded processor: what it lets in, and when it gets to what waits.
+//! A router with a limited processor: its admission control, and the order of its tasks.
 
-use super::{Job, World};
-use crate::setup::Tasks;
+use super::{Request, Simulation};
+use crate::setup::Discipline;
 use coordination::admission::{Admission, Arrivals, Limit, Probes};
 use coordination::dispatcher::{Dispatcher, Handle};
 use coordination::messages::{Grant, Refusal};
@@ -9,93 +9,111 @@
 use state::clock::Millis;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a router's processor needs to take in a try on a new connection, and on a kept
-/// one, in microseconds.
-pub(super) const OPEN_US: u64 = 20;
+/// Processor time to accept a connection.
+pub(super) const ACCEPT_US: u64 = 20;
+/// Processor time to read a request from an open connection.
 pub(super) const READ_US: u64 = 15;
-/// What it needs to refuse one, and to close a connection unread.
+/// Processor time to refuse a request that was read.
 pub(super) const REFUSE_US: u64 = 15;
+/// Processor time to accept a connection and close it unread.
 pub(super) const CLOSE_US: u64 = 12;
-/// What it needs to send a request to its engine and to pass its answer on.
+/// Processor time to send a request to its engine and relay the answer.
 pub(super) const SERVE_US: u64 = 150;
-/// Connections that a router accepts before its other tasks have their turn.
-const ACCEPT: usize = 128;
-/// Connections that wait to be accepted by a router at most; others find none.
-pub(super) const BACKLOG: usize = 256;
-/// Time after which a caller gives up that was not taken in, in milliseconds.
-pub(super) const UNREAD_MS: u64 = 1000;
-/// Time after which the caller of a busy router comes back, in milliseconds.
-pub(super) const BUSY_RETURN_MS: u64 = 100;
-/// Time between two probes of a router's lateness, in milliseconds.
-pub(super) const PROBE_MS: u64 = 20;
-/// Time between two questions for a router's readiness, in milliseconds.
-pub(super) const ASK_READY_MS: u64 = 1000;
+/// Most connections that a router accepts before it runs its other tasks.
+const ACCEPT_BATCH_MAX: usize = 128;
+/// Most connections that wait to be accepted by a router; further ones fail.
+pub(super) const BACKLOG_MAX: usize = 256;
+/// Time after which a caller gives up on a connection that was not accepted.
+pub(super) const CALLER_TIMEOUT_MS: u64 = 1000;
+/// Time after which the caller that a busy router refused retries.
+pub(super) const BUSY_RETRY_MS: u64 = 100;
+/// Interval of the probes that measure how late a router's tasks run.
+pub(super) const PROBE_INTERVAL_MS: u64 = 20;
+/// Interval of the load balancer's readiness checks.
+pub(super) const READINESS_CHECK_MS: u64 = 1000;
 
-/// Something that a router's processor has yet to do.
-pub(super) enum Work {
-    Try(Job),
+/// A task that waits for a router's processor.
+pub(super) enum Task {
+    /// Read a request from an accepted connection; with a single queue, from a new one.
+    Request(Request),
+    /// Handle a grant of a scheduler.
     Grant(Grant),
+    /// Handle a refusal of a scheduler.
     Refusal(Refusal),
-    /// What is left to do for an answer that has come.
+    /// Relay the rest of an answer.
     Relay,
-    /// The task that tells how late tasks run.
+    /// Measure how late tasks run.
     Probe,
 }
 
+/// A router with the connections and tasks that wait for its processor.
 pub(super) struct Router {
     pub(super) dispatcher: Dispatcher,
-    pub(super) jobs: BTreeMap<Handle, Job>,
-    /// Connections that were not accepted.
-    pub(super) backlog: VecDeque<Job>,
-    /// What waits for its processor.
-    pub(super) work: VecDeque<Work>,
-    /// The same with the time at which it came, of a router with one queue.
-    pub(super) in_order: VecDeque<(u64, Work)>,
-    /// Pieces of work until connections are accepted again.
-    pub(super) until_accept: usize,
-    /// Connections that callers of each customer have kept.
-    pub(super) kept: BTreeMap<u32, u32>,
-    /// Microseconds that its processor has left.
+    /// Requests that the dispatcher holds.
+    pub(super) requests: BTreeMap<Handle, Request>,
+    /// Connections that wait to be accepted.
+    pub(super) backlog: VecDeque<Request>,
+    /// Tasks that wait for the processor; unused with a single queue.
+    pub(super) tasks: VecDeque<Task>,
+    /// Tasks of a router with a single queue, with the time at which each was queued.
+    pub(super) queue: VecDeque<(u64, Task)>,
+    /// Tasks to run before connections are accepted again.
+    pub(super) tasks_until_accept: usize,
+    /// Open connections without a request, by customer.
+    pub(super) idle_connections: BTreeMap<u32, u32>,
+    /// Processor time left.
     pub(super) credit_us: u64,
-    pub(super) processor: Processor,
+    pub(super) protection: Protection,
 }
 
-/// What a router knows of its own lateness, and what is known of it.
+/// Overload protection of a router: its measured lateness, its admission limit, and its
+/// readiness as the load balancer sees it.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Processor {
-    pub(super) due: u64,
-    pub(super) last_ms: u64,
-    pub(super) before_ms: u64,
-    pub(super) taken: u64,
+pub(super) struct Protection {
+    /// Time at which the next probe is due.
+    pub(super) probe_due_ms: u64,
+    /// Lateness of the last probe.
+    pub(super) last_late_ms: u64,
+    /// Lateness of the probe before the last one.
+    pub(super) previous_late_ms: u64,
+    /// Connections and requests admitted since the last probe.
+    pub(super) admitted: u64,
+    /// Connections admitted and closed since the last probe.
     pub(super) arrivals: Arrivals,
+    /// Limit of the connections admitted between two probes.
     pub(super) limit: Limit,
-    is_woken: bool,
+    is_probe_queued: bool,
     pub(super) overload: Overload,
-    misses: u32,
-    /// Whether new connections go to other routers.
-    pub(super) is_out: bool,
+    /// Readiness checks that have failed in a row.
+    failed_checks: u32,
+    /// Whether the load balancer sends new connections to other routers.
+    pub(super) is_out_of_rotation: bool,
 }
 
-impl World {
-    /// Lets a router's processor do what it can in this millisecond.
+impl Simulation {
+    /// Runs a router's processor for a millisecond.
     ///
-    /// Its tasks take turns; the one that accepts connections takes several in its turn.
-    pub(super) fn process(&mut self, at: usize) {
-        let Some(each_us) = self.setup.processor_us else {
+    /// The processor alternates between accepting a batch of connections and running all tasks
+    /// that wait at that time.
+    pub(super) fn run_processor(&mut self, index: usize) {
+        let Some(budget_us) = self.setup.processor_us_per_ms else {
             return;
         };
-        if let Tasks::OneQueue { is_bounded } = self.setup.tasks {
-            return self.process_in_order(at, each_us, is_bounded);
+        if let Discipline::SingleQueue {
+            has_admission_control,
+        } = self.setup.discipline
+        {
+            return self.run_processor_in_order(index, budget_us, has_admission_control);
         }
-        self.wake_probe(at);
-        let router = &mut self.routers[at];
-        router.credit_us = (router.credit_us + each_us).min(10 * each_us);
-        while self.routers[at].credit_us > 0 {
-            let took_us = match self.routers[at].until_accept {
-                0 => self.accept(at),
-                _ => self.work_on(at),
+        self.queue_probe(index);
+        let router = &mut self.routers[index];
+        router.credit_us = (router.credit_us + budget_us).min(10 * budget_us);
+        while self.routers[index].credit_us > 0 {
+            let took_us = match self.routers[index].tasks_until_accept {
+                0 => self.accept_connections(index),
+                _ => self.run_task(index),
             };
-            let router = &mut self.routers[at];
+            let router = &mut self.routers[index];
             router.credit_us = router.credit_us.saturating_sub(took_us);
             if took_us == 0 {
                 return;
@@ -103,140 +121,151 @@
         }
     }
 
-    /// Accepts connections; then all that waits has its turn.
-    fn accept(&mut self, at: usize) -> u64 {
+    /// Accepts or closes waiting connections, and returns the processor time in microseconds; all
+    /// tasks that wait then come before the next call.
+    fn accept_connections(&mut self, index: usize) -> u64 {
         let mut took_us = 0;
-        for _ in 0..ACCEPT {
-            let late_ms = self.late_ms(at);
-            let router = &mut self.routers[at];
-            let Some(job) = router.backlog.front() else {
+        for _ in 0..ACCEPT_BATCH_MAX {
+            let late_ms = self.lateness_ms(index);
+            let router = &mut self.routers[index];
+            let Some(request) = router.backlog.front() else {
                 break;
             };
-            let is_gone = self.now - job.came >= UNREAD_MS;
-            let processor = &router.processor;
-            let intake = Admission::for_connection(
+            let has_timed_out = self.now_ms - request.attempted_ms >= CALLER_TIMEOUT_MS;
+            let protection = &router.protection;
+            let admission = Admission::for_connection(
                 late_ms,
-                processor.arrivals,
-                processor.limit.connections_max(),
+                protection.arrivals,
+                protection.limit.connections_max(),
             );
-            if intake == Admission::Wait {
+            if admission == Admission::Wait {
                 break;
             }
-            let Some(job) = router.backlog.pop_front() else {
+            let Some(request) = router.backlog.pop_front() else {
                 break;
             };
-            if is_gone || intake == Admission::Close {
-                router.processor.arrivals.closed += 1;
+            if has_timed_out || admission == Admission::Close {
+                router.protection.arrivals.closed += 1;
                 took_us += CLOSE_US;
-                self.refused(job, BUSY_RETURN_MS as u32);
+                self.reject(request, BUSY_RETRY_MS as u32);
                 continue;
             }
-            router.processor.taken += 1;
-            router.processor.arrivals.admitted += 1;
-            took_us += OPEN_US;
-            router.work.push_back(Work::Try(job));
+            router.protection.admitted += 1;
+            router.protection.arrivals.admitted += 1;
+            took_us += ACCEPT_US;
+            router.tasks.push_back(Task::Request(request));
         }
-        let router = &mut self.routers[at];
-        router.until_accept = router.work.len();
-        // An empty turn takes time too.
-        took_us.max(u64::from(!router.work.is_empty()))
+        let router = &mut self.routers[index];
+        router.tasks_until_accept = router.tasks.len();
+        // A turn without connections takes time, too, unless no task is left.
+        took_us.max(u64::from(!router.tasks.is_empty()))
     }
 
-    /// Does one piece of work; gives the time that it took.
-    fn work_on(&mut self, at: usize) -> u64 {
-        self.routers[at].until_accept -= 1;
-        let Some(work) = self.routers[at].work.pop_front() else {
+    /// Runs one task and returns its processor time in microseconds.
+    fn run_task(&mut self, index: usize) -> u64 {
+        self.routers[index].tasks_until_accept -= 1;
+        let Some(task) = self.routers[index].tasks.pop_front() else {
             return 1;
         };
-        match work {
-            Work::Try(job) => self.let_in(at, job),
-            Work::Grant(grant) => {
-                self.grant(at, grant);
+        match task {
+            Task::Request(request) => self.read_request(index, request),
+            Task::Grant(grant) => {
+                self.handle_grant(index, grant);
                 SERVE_US / 2
             }
-            Work::Refusal(refusal) => {
-                self.refuse(at, refusal);
+            Task::Refusal(refusal) => {
+                self.handle_refusal(index, refusal);
                 REFUSE_US
             }
-            Work::Relay => SERVE_US / 2,
-            Work::Probe => {
-                self.probe(at);
+            Task::Relay => SERVE_US / 2,
+            Task::Probe => {
+                self.probe(index);
                 1
             }
         }
     }
 
-    /// Reads a request, and refuses it while the router runs late.
-    fn let_in(&mut self, at: usize, job: Job) -> u64 {
-        if Admission::for_request(self.late_ms(at)) == Admission::Refuse {
-            self.refused(job, BUSY_RETURN_MS as u32);
+    /// Reads a request, and refuses it if the router is overloaded. Returns the processor time in
+    /// microseconds.
+    fn read_request(&mut self, index: usize, request: Request) -> u64 {
+        if Admission::for_request(self.lateness_ms(index)) == Admission::Refuse {
+            self.reject(request, BUSY_RETRY_MS as u32);
             return READ_US + REFUSE_US;
         }
-        self.routers[at].processor.taken += 1;
-        self.take(at, job);
+        self.routers[index].protection.admitted += 1;
+        self.admit(index, request);
         READ_US
     }
 
-    /// Whether a try comes on a connection that its customer's callers have kept.
-    pub(super) fn uses_kept(&mut self, at: usize, customer: u32) -> bool {
-        let kept = self.routers[at].kept.entry(customer).or_default();
-        let is_kept = *kept > 0;
-        *kept -= u32::from(is_kept);
-        is_kept
+    /// Takes an idle connection of a customer for an attempt; false if there is none.
+    pub(super) fn take_idle_connection(&mut self, index: usize, customer: u32) -> bool {
+        let idle_connections = self.routers[index]
+            .idle_connections
+            .entry(customer)
+            .or_default();
+        let is_reused = *idle_connections > 0;
+        *idle_connections -= u32::from(is_reused);
+        is_reused
     }
 
-    /// Lets callers keep the connection of an answer that has ended.
-    pub(super) fn keep(&mut self, at: usize, customer: u32) {
-        *self.routers[at].kept.entry(customer).or_default() += 1;
+    /// Adds the connection of a completed answer to its customer's idle ones.
+    pub(super) fn keep_connection(&mut self, index: usize, customer: u32) {
+        *self.routers[index]
+            .idle_connections
+            .entry(customer)
+            .or_default() += 1;
     }
 
-    fn late_ms(&self, at: usize) -> u64 {
-        let processor = &self.routers[at].processor;
+    /// Lateness of a router's tasks that its admission control goes by.
+    fn lateness_ms(&self, index: usize) -> u64 {
+        let protection = &self.routers[index].protection;
         let probes = Probes {
-            last_ms: processor.last_ms,
-            previous_ms: processor.before_ms,
-            overdue_ms: self.now.saturating_sub(processor.due),
-            admitted: processor.taken,
+            last_ms: protection.last_late_ms,
+            previous_ms: protection.previous_late_ms,
+            overdue_ms: self.now_ms.saturating_sub(protection.probe_due_ms),
+            admitted: protection.admitted,
         };
         probes.lateness()
     }
 
-    /// Wakes the task that tells how late tasks run, once it is due.
-    fn wake_probe(&mut self, at: usize) {
-        let processor = &mut self.routers[at].processor;
-        if self.now >= processor.due && !processor.is_woken {
-            processor.is_woken = true;
-            self.push(at, Work::Probe);
+    /// Queues a router's probe once it is due.
+    fn queue_probe(&mut self, index: usize) {
+        let protection = &mut self.routers[index].protection;
+        if self.now_ms >= protection.probe_due_ms && !protection.is_probe_queued {
+            protection.is_probe_queued = true;
+            self.enqueue(index, Task::Probe);
         }
     }
 
-    fn probe(&mut self, at: usize) {
-        let router = &mut self.routers[at];
-        let processor = &mut router.processor;
-        let late_ms = self.now - processor.due;
-        processor.before_ms = std::mem::replace(&mut processor.last_ms, late_ms);
-        processor.due = self.now + PROBE_MS;
-        processor.is_woken = false;
-        let lasting_ms = Probes::sustained(late_ms, processor.before_ms, processor.taken);
-        processor.taken = 0;
-        processor
+    /// Measures how late the probe runs, and updates the admission limit and the readiness.
+    fn probe(&mut self, index: usize) {
+        let router = &mut self.routers[index];
+        let protection = &mut router.protection;
+        let late_ms = self.now_ms - protection.probe_due_ms;
+        protection.previous_late_ms = std::mem::replace(&mut protection.last_late_ms, late_ms);
+        protection.probe_due_ms = self.now_ms + PROBE_INTERVAL_MS;
+        protection.is_probe_queued = false;
+        let sustained_ms =
+            Probes::sustained(late_ms, protection.previous_late_ms, protection.admitted);
+        protection.admitted = 0;
+        protection
             .limit
-            .probe(lasting_ms, processor.arrivals.admitted);
-        processor.arrivals = Arrivals::default();
-        processor.overload.set_hot(router.dispatcher.is_hot());
-        (processor.overload).probe(Millis(self.now), late_ms, false);
+            .probe(sustained_ms, protection.arrivals.admitted);
+        protection.arrivals = Arrivals::default();
+        protection.overload.set_hot(router.dispatcher.is_hot());
+        (protection.overload).probe(Millis(self.now_ms), late_ms, false);
     }
 
-    /// Whoever sends callers to routers asks each whether it is ready; two misses take it
-    /// out, one answer takes it back.
-    pub(super) fn ask_ready(&mut self) {
+    /// Runs the load balancer's readiness check of all routers: two failed checks in a row take a
+    /// router out of rotation, a successful one returns it.
+    pub(super) fn check_readiness(&mut self) {
         for router in &mut self.routers {
-            let processor = &mut router.processor;
-            processor.misses = match processor.overload.is_unready() {
-                true => processor.misses + 1,
+            let protection = &mut router.protection;
+            protection.failed_checks = match protection.overload.is_unready() {
+                true => protection.failed_checks + 1,
                 false => 0,
             };
-            processor.is_out = processor.misses >= 2;
+            protection.is_out_of_rotation = protection.failed_checks >= 2;
         }
     }
 }
