--- a/components/coordination/tests/region/setup.rs
+++ b/components/coordination/tests/region/setup.rs
@@ -93,9 +93,9 @@
             .kinds
             .iter()
             .map(|k| k.weight * f64::from(k.own_tokens));
-        let prefill_per_s =
+        let prefill_tokens_per_s =
             (TOKENS_PER_MS * 1000 * (self.engines_per_centre * self.data_centres) as u64) as f64;
-        prefill_per_s * weights / own_tokens.sum::<f64>()
+        prefill_tokens_per_s * weights / own_tokens.sum::<f64>()
     }
 
     /// Positions of the routers of a data centre.
--- a/components/coordination/tests/region/sharded.rs
+++ b/components/coordination/tests/region/sharded.rs
@@ -64,6 +64,7 @@
     (0..CUSTOMERS).map(each).collect()
 }
 
+/// Runs for `ms` at a total `load` relative to the engines' capacity.
 fn run(simulation: &mut Simulation, ms: u64, load: f64) {
     simulation.run(ms, &loads(load));
 }
