--- a/components/errors/src/lib.rs
+++ b/components/errors/src/lib.rs
@@ -1,15 +1,15 @@
 //! The error type that all components share.
 //!
-//! An error carries the step at which it arose and, where another process or
-//! endpoint took part, the peer. The text says what to do.
+//! An error names the operation that failed and, where another process or
+//! endpoint took part, the peer. Its text says how to fix the cause.
 
 use snafu::Snafu;
 
-/// A failure, with the step and the peer at which it arose.
+/// A failed operation, with the file or peer involved.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
-    /// A setting or a configuration line is wrong.
+    /// A line of a settings or configuration file is invalid.
     #[snafu(display("{file}: [{section}] {key} = {value:?}: {allowed}"))]
     Setting {
         /// File that holds the line.
@@ -18,62 +18,62 @@
         section: String,
         /// Key of the line.
         key: String,
-        /// Value that was refused.
+        /// Value that was rejected.
         value: String,
-        /// What is allowed there.
+        /// Which values, keys or sections are allowed.
         allowed: String,
     },
     /// A file could not be read or written.
     #[snafu(display("{step}: {path}: {source}"))]
     File {
-        /// What was being done.
+        /// Operation that failed, such as "read settings".
         step: &'static str,
-        /// File or folder concerned.
+        /// File, directory or address that the operation used.
         path: String,
         /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Stored bytes are not what was written.
+    /// Stored bytes differ from what was written.
     #[snafu(display("{step}: {path}: {reason}"))]
     Corrupt {
-        /// What was being done.
+        /// Operation that failed, such as "read settings".
         step: &'static str,
-        /// File concerned.
+        /// File whose contents are corrupt.
         path: String,
-        /// What is wrong and what to do.
+        /// What is wrong and how to recover.
         reason: String,
     },
-    /// A peer could not be reached or broke the protocol.
+    /// A peer was unreachable or violated the protocol.
     #[snafu(display("{step} with {peer}: {reason}"))]
     Peer {
-        /// What was being done.
+        /// Operation that failed, such as "read settings".
         step: &'static str,
-        /// Process, endpoint or address on the other side.
+        /// Process, endpoint or address at the other end.
         peer: String,
-        /// What went wrong.
+        /// Why the operation failed.
         reason: String,
     },
-    /// The other side understood the request and refused it.
+    /// The peer understood the request and refused it.
     #[snafu(display("{step} refused by {peer}: {reason}"))]
     Refused {
-        /// What was being done.
+        /// Operation that failed, such as "read settings".
         step: &'static str,
-        /// Process that refused.
+        /// Process that refused the request.
         peer: String,
-        /// Its reason.
+        /// Reason that the peer gave.
         reason: String,
     },
-    /// Keys or certificates are missing or wrong.
+    /// Keys or certificates are missing or invalid.
     #[snafu(display("{step}: {reason}"))]
     Key {
-        /// What was being done.
+        /// Operation that failed, such as "read settings".
         step: &'static str,
-        /// What went wrong and what to do.
+        /// What went wrong and how to fix it.
         reason: String,
     },
 }
 
-/// Result with the shared error.
+/// Result whose error is [`enum@Error`] by default.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 impl Error {
--- a/components/node/src/process.rs
+++ b/components/node/src/process.rs
@@ -199,7 +199,7 @@
     /// Follows what can change while a process runs: where control VMs are found.
     /// All else takes a restart.
     pub fn apply(&self, settings: &Settings) {
-        let seeds = settings.peers.places().to_vec();
+        let seeds = settings.peers.nodes().to_vec();
         // A process that is ending needs no seeds.
         let _ = self.reactor.send(Input::Seeds(seeds));
     }
@@ -238,7 +238,7 @@
 
     /// Control VMs, with this one's own port where the settings left it open.
     fn seeds(&self) -> Vec<Node> {
-        let mut seeds: Vec<Node> = self.settings.peers.places().to_vec();
+        let mut seeds: Vec<Node> = self.settings.peers.nodes().to_vec();
         for seed in &mut seeds {
             if seed.vm == self.place.vm && seed.address.port() == 0 {
                 seed.address = self.place.address;
@@ -252,7 +252,7 @@
         let named = settings.vm.descriptors.unwrap_or(u64::MAX);
         let limit = transport::descriptor::limit().unwrap_or(u64::MAX);
         let vm = Resources {
-            memory_bytes: settings.vm.memory,
+            memory_bytes: settings.vm.memory_bytes,
             descriptors: named.min(limit),
         };
         let budget = Budget::from(vm);
@@ -426,7 +426,7 @@
             )
             .await?,
         );
-        let memory = self.settings.vm.memory;
+        let memory = self.settings.vm.memory_bytes;
         let budget = Starter::budget(&self.settings);
         let monitor = monitor::run(
             lateness.clone(),
@@ -512,7 +512,7 @@
     match peers {
         Peers::Named(_) => Admission::Seeds,
         Peers::Seeds(seeds) => Admission::Open {
-            may_bootstrap: control.begins,
+            may_bootstrap: control.may_bootstrap,
             // Seeds are three at most, where more may be lost than three voters bear.
             voters: seeds.len().max(control.voters()),
         },
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -1,7 +1,8 @@
-//! INI settings of a process and INI configuration files, checked.
+//! Parses and validates INI files: the settings of a process, and the
+//! configuration of a fleet.
 //!
-//! Each section is read into a raw struct and then turned into a checked one;
-//! an error names file, section, key, value and what is allowed.
+//! Each section is read into a raw struct of optional texts and then validated;
+//! an error names the file, section, key, value and the allowed values.
 
 mod configuration;
 mod process;
@@ -12,4 +13,4 @@
     Callers, Control, Fault, KeyFiles, Link, Listing, Log, Operators, Peers, Platform, Readiness,
     Releases, Retries, Router, Settings, Vm,
 };
-pub use section::Adjusted;
+pub use section::Adjustment;
--- a/components/settings/src/process.rs
+++ b/components/settings/src/process.rs
@@ -1,6 +1,8 @@
-//! Settings of one process.
+//! The settings file of one process: its sections, their defaults and bounds.
 
-use crate::section::{self, raw, Adjusted, Rounding, Section, BYTES, MILLIS, NUMBER};
+use crate::section::{
+    self, raw_section, Adjustment, Rounding, Section, DURATION_UNITS, PLAIN_UNITS, SIZE_UNITS,
+};
 use errors::{Error, Result};
 use smallvec::SmallVec;
 use state::id::Name;
@@ -10,44 +12,45 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// What this VM is.
+/// Identity and resource limits of this VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Vm {
-    /// Name, unique in the fleet.
+    /// Name of this VM, unique in the fleet.
     pub name: Name,
-    /// Data centre that it stands in.
+    /// Data centre of this VM.
     pub data_centre: Name,
     /// Region of that data centre.
     pub region: Name,
-    /// How callers, endpoints and operators of complete configurations speak.
+    /// Name of the interface that callers, endpoints and release clients use: `own` or
+    /// that of a platform.
     pub interface: String,
-    /// Longest time for what is in progress to end after a stop, in milliseconds.
+    /// Longest time that a shutdown waits for requests in progress, in milliseconds.
     pub grace_ms: u64,
-    /// Memory that this process may take, in bytes.
-    pub memory: u64,
-    /// Files and sockets that it may have open; the system's own limit, where none
-    /// is named.
+    /// Memory limit of this process, in bytes.
+    pub memory_bytes: u64,
+    /// Limit on open files and sockets; `None` leaves only the limit of the operating
+    /// system.
     pub descriptors: Option<u64>,
 }
 
-/// Links to other processes.
+/// Links to the other processes of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Link {
-    /// Where they listen.
+    /// Address on which this process accepts links.
     pub listen: SocketAddr,
-    /// Files that prove who this VM is; without them, peers are taken for what
-    /// they say they are.
+    /// Keys and certificates that authenticate both ends of a link; `None` accepts the
+    /// name that a peer claims without proof.
     pub keys: Option<KeyFiles>,
-    /// Silence after which a link is down, in milliseconds.
+    /// Idle timeout after which a link counts as down, in milliseconds.
     pub idle_ms: u64,
-    /// Time between signs of life on a quiet link, in milliseconds.
+    /// Interval of keep-alive messages on an idle link, in milliseconds.
     pub keep_alive_ms: u64,
 }
 
-/// Files that `cowslipford keys` made.
+/// Key and certificate files, which `cowslipford keys` generates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyFiles {
-    /// Certificate of the fleet's authority.
+    /// Certificate of the fleet's certificate authority.
     pub authority: PathBuf,
     /// Certificate of this VM.
     pub certificate: PathBuf,
@@ -55,193 +58,194 @@
     pub key: PathBuf,
 }
 
-/// The callers' side of a router.
+/// The listener of a router for callers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Callers {
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub listen: SocketAddr,
-    /// Largest head in bytes.
+    /// Largest request head, in bytes.
     pub head_max: usize,
-    /// Largest body in bytes.
+    /// Largest request body, in bytes.
     pub body_max: usize,
-    /// Time for a head to arrive, in milliseconds.
+    /// Timeout for a complete request head, in milliseconds.
     pub head_ms: u64,
-    /// Time for a body to arrive, in milliseconds.
+    /// Timeout for a complete request body, in milliseconds.
     pub body_ms: u64,
-    /// Connections at once.
+    /// Most concurrent connections from callers.
     pub connections: usize,
 }
 
-/// Bounds of a router.
+/// Queue, configuration and retry limits of a router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Router {
-    /// Requests that may wait.
+    /// Most requests in the queue.
     pub queue: usize,
-    /// Requests of one customer that may wait, unless a rule says otherwise.
+    /// Most requests of one customer in the queue, unless a rule sets another limit.
     pub queue_customer: u32,
-    /// Bytes of waiting bodies.
+    /// Most bytes of request bodies in the queue.
     pub queue_bytes: u64,
-    /// Children that it feeds with the configuration.
+    /// Children in the tree that distributes the configuration.
     pub fanout: usize,
-    /// Silence from control after which it refuses requests, in milliseconds;
-    /// `None` serves the last version for as long as it lasts.
+    /// Time without contact to control after which the router refuses requests, in
+    /// milliseconds; `None` keeps serving with the last known configuration.
     pub stale_ms: Option<u64>,
-    /// Retries that all routers together may add in any [`Retries::window_ms`].
+    /// Retry budget, which all routers share.
     pub retries: Retries,
 }
 
-/// Bounds on retries over the whole fleet, for each service.
+/// Retry budget of each service over the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retries {
-    /// Retries for each thousand first tries.
+    /// Retries allowed for each thousand first attempts.
     pub per_mille: u64,
-    /// Retries beyond that.
+    /// Retries allowed in a window in addition, whatever the number of first attempts.
     pub extra: u64,
-    /// Time over which both are counted, in milliseconds.
+    /// Length of the window in which attempts and retries are counted, in milliseconds.
     pub window_ms: u64,
 }
 
-/// The operators' side.
+/// The listener for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Operators {
-    /// Where operators connect.
+    /// Address on which operators connect.
     pub listen: SocketAddr,
-    /// Hash of the operators' key; without one, only what needs none is answered.
+    /// Hash of the operators' key; without it, only requests that need no key are answered.
     pub key: Option<Hash>,
 }
 
 /// The control role.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Control {
-    /// Folder of the durable state.
+    /// Directory of the durable state.
     pub data: PathBuf,
-    /// Bytes of log after which a snapshot is taken.
+    /// Log size after which a snapshot replaces the log, in bytes.
     pub compact_bytes: u64,
-    /// Children that it feeds with the configuration.
+    /// Children in the tree that distributes the configuration.
     pub fanout: usize,
-    /// Whether a new group may begin, when control VMs are found through seeds.
-    pub begins: bool,
-    /// Control VMs that may be lost at once, with their disks.
-    pub losses: u32,
+    /// Whether this VM may bootstrap a new control group, where control VMs are found
+    /// through seeds.
+    pub may_bootstrap: bool,
+    /// Simultaneous losses of control VMs, with their disks, that the group must survive.
+    pub tolerated_losses: u32,
 }
 
 impl Control {
-    /// Voters that a group needs, so that after so many losses a majority is left that
-    /// knows everything that was accepted.
+    /// Voters that the group needs so that, after [`Control::tolerated_losses`], a majority
+    /// remains that holds every committed entry.
     pub fn voters(&self) -> usize {
-        usize::try_from(self.losses).map_or(usize::MAX, |n| 2 * n + 1)
+        usize::try_from(self.tolerated_losses).map_or(usize::MAX, |n| 2 * n + 1)
     }
 }
 
-/// Where operators send complete configurations and read them back.
+/// The listener on which release clients send and read complete configurations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Releases {
-    /// Where they connect.
+    /// Address on which release clients connect.
     pub listen: SocketAddr,
 }
 
-/// Where it is asked whether this router takes requests.
+/// The listener for readiness probes: whether this router accepts requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Readiness {
-    /// Where to ask.
+    /// Address on which probes connect.
     pub listen: SocketAddr,
 }
 
-/// The platform's list of all endpoints, in place of those of the configuration.
+/// The platform's list of all endpoints, which replaces the endpoints of the
+/// configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listing {
-    /// Where it is served.
+    /// Address of the server of the list.
     pub address: SocketAddr,
-    /// Time between two looks of the VM that reads it for the fleet, in
-    /// milliseconds.
+    /// Polling interval of the VM that reads the list for the fleet, in milliseconds.
     pub every_ms: u64,
 }
 
-/// How this process learns of the control VMs.
+/// How this process finds the control VMs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Peers {
-    /// All of them are known by name, for good.
+    /// The fixed set of all control VMs, by name.
     Named(SmallVec<[Node; 5]>),
-    /// Some of them are known by address; they tell of the others.
+    /// Addresses of some control VMs, from which the others are discovered.
     Seeds(SmallVec<[Node; 5]>),
 }
 
 impl Peers {
-    /// Places that are known from the settings.
-    pub fn places(&self) -> &[Node] {
+    /// Control VMs that the settings name.
+    pub fn nodes(&self) -> &[Node] {
         match self {
-            Peers::Named(places) | Peers::Seeds(places) => places,
+            Peers::Named(nodes) | Peers::Seeds(nodes) => nodes,
         }
     }
 }
 
-/// The platform's list of live and leaving VMs.
+/// The platform's list of VMs that are live or about to leave.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Platform {
-    /// Where it is served.
+    /// Address of the server of the list.
     pub address: SocketAddr,
     /// Path of the list.
     pub path: String,
-    /// Time between two looks, in milliseconds.
+    /// Polling interval, in milliseconds.
     pub every_ms: u64,
 }
 
-/// Logs.
+/// Log output and the timeline of events.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Log {
-    /// Whether lines are JSON.
+    /// Whether log lines are JSON.
     pub json: bool,
-    /// Least level: error, warn, info, debug or trace.
+    /// Least severe level that is logged: error, warn, info, debug or trace.
     pub level: String,
-    /// Events that the time line keeps.
+    /// Most events that the timeline keeps.
     pub events: usize,
 }
 
-/// Hooks for tests of failures.
+/// Fault injection for tests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fault {
-    /// Whether operators may cut links.
+    /// Whether the operators' listener serves the fault injection hooks.
     pub hook: bool,
 }
 
-/// Settings of one process, checked.
+/// Validated settings of one process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// What this VM is.
+    /// Identity and resource limits of this VM.
     pub vm: Vm,
-    /// Links.
+    /// Links to the other processes of the fleet.
     pub link: Link,
-    /// Control VMs.
+    /// How this process finds the control VMs.
     pub peers: Peers,
-    /// The operators' side.
+    /// The listener for operators.
     pub operators: Operators,
-    /// The callers' side, if this is a router.
+    /// The listener for callers, if this VM is a router.
     pub callers: Option<Callers>,
-    /// Bounds of a router.
+    /// Limits of the router.
     pub router: Router,
-    /// Whether this VM may schedule.
+    /// Whether this VM may run schedulers.
     pub scheduler: bool,
-    /// The control role, if this VM has a disk for it.
+    /// The control role, if this VM has it.
     pub control: Option<Control>,
-    /// The platform's list of VMs, if this VM follows it.
+    /// The platform's list of VMs, if this VM polls it.
     pub platform: Option<Platform>,
-    /// The platform's list of all endpoints, if they come from there.
+    /// The platform's list of all endpoints, if it replaces those of the configuration.
     pub listing: Option<Listing>,
     /// Region of each data centre that the settings name.
     pub regions: BTreeMap<Name, Name>,
-    /// Complete configurations, if operators send them here.
+    /// The listener for release clients, if there is one.
     pub releases: Option<Releases>,
-    /// Readiness on an address of its own.
+    /// The listener for readiness probes, if it is a separate one.
     pub readiness: Option<Readiness>,
-    /// Logs.
+    /// Log output and the timeline of events.
     pub log: Log,
-    /// Hooks for tests.
+    /// Fault injection for tests.
     pub fault: Fault,
-    /// Figures that were read as others, for the log.
-    pub adjusted: Vec<Adjusted>,
+    /// Numbers that were rounded, clamped or replaced by a default, for the log.
+    pub adjustments: Vec<Adjustment>,
 }
 
-raw!(RawVm {
+raw_section!(RawVm {
     name,
     data_centre,
     region,
@@ -250,7 +254,7 @@
     memory,
     descriptors
 });
-raw!(RawLink {
+raw_section!(RawLink {
     listen,
     authentication,
     authority,
@@ -259,7 +263,7 @@
     idle,
     keep_alive
 });
-raw!(RawCallers {
+raw_section!(RawCallers {
     listen,
     head_max,
     body_max,
@@ -267,7 +271,7 @@
     body_time,
     connections
 });
-raw!(RawRouter {
+raw_section!(RawRouter {
     queue,
     queue_customer,
     queue_bytes,
@@ -278,84 +282,91 @@
     retry_extra,
     retry_window
 });
-raw!(RawOperators { listen, key_sha256 });
-raw!(RawScheduler {});
-raw!(RawControl {
+raw_section!(RawOperators { listen, key_sha256 });
+raw_section!(RawScheduler {});
+raw_section!(RawControl {
     data,
     compact_bytes,
     fanout,
     first_start,
     losses
 });
-raw!(RawSeeds { addresses });
-raw!(RawListen { listen });
-raw!(RawListing { address, every });
-raw!(RawPlatform {
+raw_section!(RawSeeds { addresses });
+raw_section!(RawListen { listen });
+raw_section!(RawListing { address, every });
+raw_section!(RawPlatform {
     address,
     path,
     every
 });
-raw!(RawLog {
+raw_section!(RawLog {
     format,
     level,
     events
 });
-raw!(RawFault { hook });
+raw_section!(RawFault { hook });
 
-/// Age of the last proof of the newest version up to which a router serves, as
-/// a part of the time in which a removed key must be refused everywhere, in
-/// hundredths. The rest is for the way of a change to a router that is reached.
+/// Longest time that a router serves without proof that its configuration is the newest,
+/// in percent of the revocation time, within which every router must refuse a removed key.
+/// The rest is left for a change to reach the routers that are connected.
 const PROOF_PERCENT: u64 = 60;
-/// Retries for each first try, unless set: an outage must not double the load.
-const RETRY_RATIO: f64 = 0.1;
-/// Retries beyond that in a window, unless set.
-const RETRY_EXTRA: u64 = 10;
-/// That window, unless set, in milliseconds.
-const RETRY_WINDOW_MS: u64 = 10_000;
-/// Time in which a removed key is refused everywhere, where none is named, in milliseconds.
-const REVOCATION_MS: u64 = 5000;
-/// Losses of control VMs that can be asked to be borne: more would take more voters than a
-/// quorum is fast with.
-const LOSSES_MAX: u64 = 3;
-
-/// Memory that a process may take, unless its settings say otherwise, in bytes: the
-/// smallest VM that is sold today.
-const MEMORY: u64 = 512_000_000;
-/// Least that can be named, in bytes: a process at rest with 340 peers takes half of it.
-const MEMORY_MIN: u64 = 48_000_000;
-/// Most that can be named, in bytes.
-const MEMORY_MAX: u64 = 1 << 44;
-
-const ADDRESS: &str = "an IP number with a port, such as 127.0.0.1:7001";
-const KINDS: &str =
+/// Default of `retry-ratio`, retries per first attempt: low, so that retries during an
+/// outage do not double the load.
+const DEFAULT_RETRY_RATIO: f64 = 0.1;
+/// Default of `retry-extra`, further retries in a window.
+const DEFAULT_RETRY_EXTRA: u64 = 10;
+/// Default of `retry-window`, in milliseconds.
+const DEFAULT_RETRY_WINDOW_MS: u64 = 10_000;
+/// Value of a `revocation` without a number, in milliseconds.
+const DEFAULT_REVOCATION_MS: u64 = 5000;
+/// Largest `losses`; each one adds two voters, and a larger quorum slows every commit.
+const MAX_TOLERATED_LOSSES: u64 = 3;
+
+/// Default of `memory`, in bytes: the smallest VM that is sold has as much.
+const DEFAULT_MEMORY_BYTES: u64 = 512_000_000;
+/// Smallest `memory`, in bytes: an idle process with 340 peers takes half of it.
+const MIN_MEMORY_BYTES: u64 = 48_000_000;
+/// Largest `memory`, in bytes.
+const MAX_MEMORY_BYTES: u64 = 1 << 44;
+
+/// Allowed values of an address key, for error messages.
+const ADDRESS_FORMAT: &str = "an IP address with a port, such as 127.0.0.1:7001";
+/// Sections of a settings file, separated by a comma and a space.
+const SECTION_TITLES: &str =
     "vm, link, peers, seeds, operators, callers, router, scheduler, control, platform, listing, \
      data-centres, releases, readiness, log, fault";
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// When the file cannot be read, or [`Error::Setting`] for the first bad line.
+    /// [`Error::File`] if the file cannot be read, [`Error::Setting`] for the first invalid
+    /// line.
     pub fn read(path: &Path) -> Result<Self> {
         let text = std::fs::read_to_string(path).map_err(Error::file("read settings", path))?;
         let base = path.parent().unwrap_or(Path::new("."));
         Settings::parse(&path.display().to_string(), base, &text)
     }
 
-    /// Checks a text; relative paths count from `base`.
+    /// Parses and validates the text of a settings file. `file` names it in errors;
+    /// relative paths are relative to `base`.
     ///
     /// # Errors
     ///
-    /// [`Error::Setting`] for the first bad line.
+    /// [`Error::Setting`] for the first invalid line.
     pub fn parse(file: &str, base: &Path, text: &str) -> Result<Self> {
-        let sections = section::read(file, text)?;
+        let sections = section::parse_sections(file, text)?;
         for (i, s) in sections.iter().enumerate() {
-            if !KINDS.split(", ").any(|kind| kind == s.title) {
-                return Err(s.wrong("(section)", &s.title, format!("the sections {KINDS}")));
+            if !SECTION_TITLES.split(", ").any(|kind| kind == s.title) {
+                return Err(s.invalid(
+                    "(section)",
+                    &s.title,
+                    format!("the sections {SECTION_TITLES}"),
+                ));
             }
             if sections[..i].iter().any(|other| other.title == s.title) {
-                return Err(s.wrong("(section)", &s.title, "each section once"));
+                return Err(s.invalid("(section)", &s.title, "each section once"));
             }
         }
         let find = |kind: &str| sections.iter().find(|s| s.kind == kind);
@@ -369,7 +380,8 @@
             })
         };
         let link = link(need("link")?, base)?;
-        // Peers that know only an address must come to the same name.
+        // With seeds, the name of a VM is derived from its link address, so that peers
+        // that know only the address derive the same name.
         let name = find("seeds").map(|_| Node::at(link.listen).vm);
         let vm = vm(need("vm")?, name)?;
         let control = find("control").map(|s| control(s, base)).transpose()?;
@@ -377,10 +389,10 @@
             Some(s) => Peers::Seeds(seeds(s, link.listen)?),
             None => Peers::Named(peers(need("peers")?)?),
         };
-        let known = peers.places().iter().any(|place| place.vm == vm.name);
-        if control.is_some() && matches!(peers, Peers::Named(_)) && !known {
-            let allowed = "a VM with [control] stands in [peers] itself";
-            return Err(need("peers")?.wrong(vm.name.as_str(), "", allowed));
+        let is_listed = peers.nodes().iter().any(|node| node.vm == vm.name);
+        if control.is_some() && matches!(peers, Peers::Named(_)) && !is_listed {
+            let allowed = "a VM with [control] must itself be listed in [peers]";
+            return Err(need("peers")?.invalid(vm.name.as_str(), "", allowed));
         }
         Ok(Settings {
             link,
@@ -389,7 +401,7 @@
             callers: find("callers").map(callers).transpose()?,
             router: router(find("router"))?,
             scheduler: match find("scheduler") {
-                Some(s) => s.raw::<RawScheduler>().map(|_| true)?,
+                Some(s) => s.deserialize::<RawScheduler>().map(|_| true)?,
                 None => false,
             },
             control,
@@ -403,29 +415,30 @@
                 .map(|listen| Readiness { listen }),
             log: log(find("log"))?,
             fault: fault(find("fault"))?,
-            adjusted: sections.iter().flat_map(Section::adjusted).collect(),
+            adjustments: sections.iter().flat_map(Section::adjustments).collect(),
             vm,
         })
     }
 }
 
 fn listen(s: &Section) -> Result<SocketAddr> {
-    let raw: RawListen = s.raw()?;
-    s.parse("listen", &raw.listen, ADDRESS)
+    let raw: RawListen = s.deserialize()?;
+    s.parse("listen", &raw.listen, ADDRESS_FORMAT)
 }
 
 fn listing(s: &Section) -> Result<Listing> {
-    let raw: RawListing = s.raw()?;
+    let raw: RawListing = s.deserialize()?;
     Ok(Listing {
-        address: s.parse("address", &raw.address, ADDRESS)?,
-        every_ms: s.millis("every", &raw.every, 100..=600_000, 500)?,
+        address: s.parse("address", &raw.address, ADDRESS_FORMAT)?,
+        every_ms: s.duration_ms("every", &raw.every, 100..=600_000, 500)?,
     })
 }
 
-/// Region of each data centre.
+/// Reads the region of each data centre.
 fn regions(s: &Section) -> Result<BTreeMap<Name, Name>> {
-    let name =
-        |key: &str, text: &str| Name::try_from(text).map_err(|allowed| s.wrong(key, text, allowed));
+    let name = |key: &str, text: &str| {
+        Name::try_from(text).map_err(|allowed| s.invalid(key, text, allowed))
+    };
     let pairs = s.pairs().iter();
     pairs
         .map(|(key, value)| Ok((name(key, key)?, name(key, value)?)))
@@ -433,15 +446,15 @@
 }
 
 fn vm(s: &Section, name: Option<Name>) -> Result<Vm> {
-    let raw: RawVm = s.raw()?;
+    let raw: RawVm = s.deserialize()?;
     let region = Some(raw.region.unwrap_or_else(|| "main".to_owned()));
     let name = match (name, &raw.name) {
         (Some(name), None) => name,
         (Some(_), Some(other)) => {
-            return Err(s.wrong(
+            return Err(s.invalid(
                 "name",
                 other,
-                "no name: with [seeds] it follows from the link",
+                "no name: with [seeds] it is derived from the link address",
             ));
         }
         (None, name) => s.convert("name", name, "the VM's name")?,
@@ -451,28 +464,28 @@
         data_centre: s.convert("data-centre", &raw.data_centre, "the data centre's name")?,
         region: s.convert("region", &region, "the region's name")?,
         interface: raw.interface.unwrap_or_else(|| "own".to_owned()),
-        grace_ms: s.figure(
+        grace_ms: s.lenient_number(
             "grace",
             &raw.grace,
-            MILLIS,
+            DURATION_UNITS,
             Rounding::Down,
             500..=600_000,
             30_000,
         )?,
-        memory: s.figure(
+        memory_bytes: s.lenient_number(
             "memory",
             &raw.memory,
-            BYTES,
+            SIZE_UNITS,
             Rounding::Down,
-            MEMORY_MIN..=MEMORY_MAX,
-            MEMORY,
+            MIN_MEMORY_BYTES..=MAX_MEMORY_BYTES,
+            DEFAULT_MEMORY_BYTES,
         )?,
         descriptors: match raw.descriptors.as_deref() {
             None | Some("") => None,
-            _ => Some(s.figure(
+            _ => Some(s.lenient_number(
                 "descriptors",
                 &raw.descriptors,
-                NUMBER,
+                PLAIN_UNITS,
                 Rounding::Down,
                 64..=1 << 30,
                 64,
@@ -481,25 +494,27 @@
     })
 }
 
-/// Places of seeds. Their links listen on the port of this VM's own.
+/// Reads the link addresses of the seeds; all control VMs listen on the same port as this VM.
 fn seeds(s: &Section, link: SocketAddr) -> Result<SmallVec<[Node; 5]>> {
-    let raw: RawSeeds = s.raw()?;
+    let raw: RawSeeds = s.deserialize()?;
     let what = "addresses of control VMs, such as 10.0.0.1:7001, 10.0.0.2:7001";
-    let text = s.need("addresses", &raw.addresses, what)?;
+    let text = s.required("addresses", &raw.addresses, what)?;
     let each = |part: &str| {
-        let address: SocketAddr = part.parse().map_err(|_| s.wrong("addresses", text, what))?;
+        let address: SocketAddr = part
+            .parse()
+            .map_err(|_| s.invalid("addresses", text, what))?;
         Ok(Node::at(SocketAddr::new(address.ip(), link.port())))
     };
-    section::list(text).map(each).collect()
+    section::split_list(text).map(each).collect()
 }
 
 fn link(s: &Section, base: &Path) -> Result<Link> {
-    let raw: RawLink = s.raw()?;
+    let raw: RawLink = s.deserialize()?;
     let path = |key, value: &Option<String>| -> Result<PathBuf> {
         let what = "a file that `cowslipford keys` made";
-        Ok(base.join(s.need(key, value, what)?))
+        Ok(base.join(s.required(key, value, what)?))
     };
-    let idle_ms = s.millis("idle", &raw.idle, 200..=60_000, 1500)?;
+    let idle_ms = s.duration_ms("idle", &raw.idle, 200..=60_000, 1500)?;
     let keys = match raw.authentication.as_deref() {
         Some("none") => None,
         None | Some("certificates") => Some(KeyFiles {
@@ -507,37 +522,44 @@
             certificate: path("certificate", &raw.certificate)?,
             key: path("key", &raw.key)?,
         }),
-        Some(other) => return Err(s.wrong("authentication", other, "certificates or none")),
+        Some(other) => return Err(s.invalid("authentication", other, "certificates or none")),
     };
     Ok(Link {
-        listen: s.parse("listen", &raw.listen, ADDRESS)?,
+        listen: s.parse("listen", &raw.listen, ADDRESS_FORMAT)?,
         keys,
         idle_ms,
-        keep_alive_ms: s.millis("keep-alive", &raw.keep_alive, 50..=idle_ms / 2, idle_ms / 3)?,
+        keep_alive_ms: s.duration_ms(
+            "keep-alive",
+            &raw.keep_alive,
+            50..=idle_ms / 2,
+            idle_ms / 3,
+        )?,
     })
 }
 
 fn peers(s: &Section) -> Result<SmallVec<[Node; 5]>> {
-    let mut seeds: SmallVec<[Node; 5]> = SmallVec::new();
+    let mut nodes: SmallVec<[Node; 5]> = SmallVec::new();
     for (key, value) in s.pairs() {
-        let vm = Name::try_from(key.as_str()).map_err(|allowed| s.wrong(key, value, allowed))?;
-        let address = value.parse().map_err(|_| s.wrong(key, value, ADDRESS))?;
-        if seeds.iter().any(|p| p.vm == vm) {
-            return Err(s.wrong(key, value, "each VM once"));
+        let vm = Name::try_from(key.as_str()).map_err(|allowed| s.invalid(key, value, allowed))?;
+        let address = value
+            .parse()
+            .map_err(|_| s.invalid(key, value, ADDRESS_FORMAT))?;
+        if nodes.iter().any(|p| p.vm == vm) {
+            return Err(s.invalid(key, value, "each VM once"));
         }
-        seeds.push(Node { vm, address });
+        nodes.push(Node { vm, address });
     }
-    if ![1, 3, 5, 7].contains(&seeds.len()) {
-        let value = seeds.len().to_string();
-        return Err(s.wrong("(section)", &value, "1, 3, 5 or 7 control VMs"));
+    if ![1, 3, 5, 7].contains(&nodes.len()) {
+        let value = nodes.len().to_string();
+        return Err(s.invalid("(section)", &value, "1, 3, 5 or 7 control VMs"));
     }
-    Ok(seeds)
+    Ok(nodes)
 }
 
 fn operators(s: &Section) -> Result<Operators> {
-    let raw: RawOperators = s.raw()?;
+    let raw: RawOperators = s.deserialize()?;
     Ok(Operators {
-        listen: s.parse("listen", &raw.listen, ADDRESS)?,
+        listen: s.parse("listen", &raw.listen, ADDRESS_FORMAT)?,
         key: match &raw.key_sha256 {
             None => None,
             key => Some(s.convert("key-sha256", key, "the SHA-256 of the operators' key")?),
@@ -546,17 +568,17 @@
 }
 
 fn callers(s: &Section) -> Result<Callers> {
-    let raw: RawCallers = s.raw()?;
+    let raw: RawCallers = s.deserialize()?;
     let size = |key, value: &Option<String>, min, max, default| -> Result<usize> {
         let number = s.number(key, value, min..=max, default)?;
         Ok(usize::try_from(number).unwrap_or(usize::MAX))
     };
     Ok(Callers {
-        listen: s.parse("listen", &raw.listen, ADDRESS)?,
+        listen: s.parse("listen", &raw.listen, ADDRESS_FORMAT)?,
         head_max: size("head-max", &raw.head_max, 4096, 1 << 20, 32 * 1024)?,
         body_max: size("body-max", &raw.body_max, 0, 1 << 30, 1 << 20)?,
-        head_ms: s.millis("head-time", &raw.head_time, 100..=600_000, 10_000)?,
-        body_ms: s.millis("body-time", &raw.body_time, 100..=600_000, 30_000)?,
+        head_ms: s.duration_ms("head-time", &raw.head_time, 100..=600_000, 10_000)?,
+        body_ms: s.duration_ms("body-time", &raw.body_time, 100..=600_000, 30_000)?,
         connections: size("connections", &raw.connections, 1, 1 << 20, 4096)?,
     })
 }
@@ -564,37 +586,37 @@
 fn router(s: Option<&Section>) -> Result<Router> {
     let empty = Section::empty();
     let s = s.unwrap_or(&empty);
-    let raw: RawRouter = s.raw()?;
+    let raw: RawRouter = s.deserialize()?;
     let stale_ms = match raw.without_control.as_deref() {
         None | Some("serve") => None,
-        Some(_) => Some(s.millis(
+        Some(_) => Some(s.duration_ms(
             "without-control",
             &raw.without_control,
             1000..=86_400_000,
             0,
         )?),
     };
-    let revocation = |_| {
+    let revocation_ms = |_| {
         let bounds = 1000..=86_400_000;
-        s.figure(
+        s.lenient_number(
             "revocation",
             &raw.revocation,
-            MILLIS,
+            DURATION_UNITS,
             Rounding::Down,
             bounds,
-            REVOCATION_MS,
+            DEFAULT_REVOCATION_MS,
         )
     };
-    let revocation = raw.revocation.as_ref().map(revocation).transpose()?;
-    let stale_ms = match revocation.map(|ms| ms * PROOF_PERCENT / 100) {
-        Some(proof) => Some(stale_ms.map_or(proof, |stale| stale.min(proof))),
+    let revocation_ms = raw.revocation.as_ref().map(revocation_ms).transpose()?;
+    let stale_ms = match revocation_ms.map(|ms| ms * PROOF_PERCENT / 100) {
+        Some(proof_ms) => Some(stale_ms.map_or(proof_ms, |stale| stale.min(proof_ms))),
         None => stale_ms,
     };
     let queue = s.number("queue", &raw.queue, 1..=1 << 20, 4096)?;
     let fanout = s.number("fanout", &raw.fanout, 1..=64, 4)?;
     Ok(Router {
         queue: usize::try_from(queue).unwrap_or(usize::MAX),
-        queue_customer: s.small("queue-customer", &raw.queue_customer, 1..=1 << 20, 64)?,
+        queue_customer: s.number_u32("queue-customer", &raw.queue_customer, 1..=1 << 20, 64)?,
         queue_bytes: s.number("queue-bytes", &raw.queue_bytes, 1..=1 << 40, 32 << 20)?,
         fanout: usize::try_from(fanout).unwrap_or(4),
         stale_ms,
@@ -605,29 +627,29 @@
 fn retries(s: &Section, raw: &RawRouter) -> Result<Retries> {
     let what = "retries for each first try, such as 0.2";
     let ratio: f64 = match raw.retry_ratio.as_deref() {
-        None | Some("") => RETRY_RATIO,
+        None | Some("") => DEFAULT_RETRY_RATIO,
         Some(text) => s.parse("retry-ratio", &Some(text.to_owned()), what)?,
     };
     if !(0.0..=1.0).contains(&ratio) {
-        return Err(s.wrong("retry-ratio", &ratio.to_string(), what));
+        return Err(s.invalid("retry-ratio", &ratio.to_string(), what));
     }
-    let extra = (&raw.retry_extra, 0..=1 << 20, RETRY_EXTRA);
-    let window = (&raw.retry_window, 100..=600_000, RETRY_WINDOW_MS);
+    let extra = (&raw.retry_extra, 0..=1 << 20, DEFAULT_RETRY_EXTRA);
+    let window = (&raw.retry_window, 100..=600_000, DEFAULT_RETRY_WINDOW_MS);
     Ok(Retries {
         // CAST: at most 1000.
         per_mille: (ratio * 1000.0) as u64,
-        extra: s.figure(
+        extra: s.lenient_number(
             "retry-extra",
             extra.0,
-            NUMBER,
+            PLAIN_UNITS,
             Rounding::Down,
             extra.1,
             extra.2,
         )?,
-        window_ms: s.figure(
+        window_ms: s.lenient_number(
             "retry-window",
             window.0,
-            MILLIS,
+            DURATION_UNITS,
             Rounding::Up,
             window.1,
             window.2,
@@ -636,10 +658,10 @@
 }
 
 fn control(s: &Section, base: &Path) -> Result<Control> {
-    let raw: RawControl = s.raw()?;
+    let raw: RawControl = s.deserialize()?;
     let fanout = s.number("fanout", &raw.fanout, 1..=64, 8)?;
     Ok(Control {
-        data: base.join(s.need("data", &raw.data, "the folder of the durable state")?),
+        data: base.join(s.required("data", &raw.data, "the directory of the durable state")?),
         compact_bytes: s.number(
             "compact-bytes",
             &raw.compact_bytes,
@@ -647,44 +669,44 @@
             512 << 10,
         )?,
         fanout: usize::try_from(fanout).unwrap_or(8),
-        begins: s.flag("first-start", &raw.first_start)?.unwrap_or(false),
-        // CAST: at most `LOSSES_MAX`.
-        losses: s.figure(
+        may_bootstrap: s.flag("first-start", &raw.first_start)?.unwrap_or(false),
+        // CAST: at most `MAX_TOLERATED_LOSSES`.
+        tolerated_losses: s.lenient_number(
             "losses",
             &raw.losses,
-            NUMBER,
+            PLAIN_UNITS,
             Rounding::Up,
-            0..=LOSSES_MAX,
+            0..=MAX_TOLERATED_LOSSES,
             1,
         )? as u32,
     })
 }
 
 fn platform(s: &Section) -> Result<Platform> {
-    let raw: RawPlatform = s.raw()?;
-    let path = s.need("path", &raw.path, "the path of the list")?;
+    let raw: RawPlatform = s.deserialize()?;
+    let path = s.required("path", &raw.path, "the path of the list")?;
     if !path.starts_with('/') {
-        return Err(s.wrong("path", path, "a path that begins with /"));
+        return Err(s.invalid("path", path, "a path that begins with /"));
     }
     Ok(Platform {
-        address: s.parse("address", &raw.address, ADDRESS)?,
+        address: s.parse("address", &raw.address, ADDRESS_FORMAT)?,
         path: path.to_owned(),
-        every_ms: s.millis("every", &raw.every, 100..=600_000, 1000)?,
+        every_ms: s.duration_ms("every", &raw.every, 100..=600_000, 1000)?,
     })
 }
 
 fn log(s: Option<&Section>) -> Result<Log> {
     let empty = Section::empty();
     let s = s.unwrap_or(&empty);
-    let raw: RawLog = s.raw()?;
+    let raw: RawLog = s.deserialize()?;
     let json = match raw.format.as_deref() {
         None | Some("text") => false,
         Some("json") => true,
-        Some(other) => return Err(s.wrong("format", other, "text or json")),
+        Some(other) => return Err(s.invalid("format", other, "text or json")),
     };
     let level = raw.level.unwrap_or_else(|| "info".to_owned());
     if !["error", "warn", "info", "debug", "trace"].contains(&level.as_str()) {
-        return Err(s.wrong("level", &level, "error, warn, info, debug or trace"));
+        return Err(s.invalid("level", &level, "error, warn, info, debug or trace"));
     }
     let events = s.number("events", &raw.events, 16..=1 << 20, 4096)?;
     Ok(Log {
@@ -698,7 +720,7 @@
     let Some(s) = s else {
         return Ok(Fault::default());
     };
-    let raw: RawFault = s.raw()?;
+    let raw: RawFault = s.deserialize()?;
     let hook = s.flag("hook", &raw.hook)?.unwrap_or(false);
     Ok(Fault { hook })
 }
--- a/components/settings/src/section.rs
+++ b/components/settings/src/section.rs
@@ -1,4 +1,4 @@
-//! Sections of an INI file, with the place kept for errors.
+//! Sections of an INI file, which keep their file and title for error messages.
 
 use errors::{Error, Result};
 use ini::{Ini, ParseOption};
@@ -9,8 +9,9 @@
 use std::fmt::Display;
 use std::str::FromStr;
 
-/// Declares a raw section: every key an optional text, unknown keys refused.
-macro_rules! raw {
+/// Declares the raw form of a section: a struct in which every key is an optional text.
+/// Unknown keys are an error.
+macro_rules! raw_section {
     ($name:ident { $($field:ident),* $(,)? }) => {
         #[derive(Debug, Default, serde::Deserialize)]
         #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
@@ -22,9 +23,9 @@
         }
     };
 }
-pub(crate) use raw;
+pub(crate) use raw_section;
 
-/// Reads a text that stands for an optional one.
+/// Deserializes the text of a key that is present; absent keys are `None` by default.
 pub(crate) fn some<'de, D>(deserializer: D) -> Result<Option<String>, D::Error>
 where
     D: serde::Deserializer<'de>,
@@ -32,53 +33,55 @@
     String::deserialize(deserializer).map(Some)
 }
 
-/// One section with where it stands.
+/// A section: its title, its keys and the file that holds it.
 #[derive(Clone, Debug)]
 pub(crate) struct Section {
+    /// File that holds the section, for error messages.
     pub(crate) file: String,
-    /// Whole title, for errors.
+    /// Complete title, for error messages.
     pub(crate) title: String,
-    /// First word of the title.
+    /// First word of the title, such as `service`.
     pub(crate) kind: String,
-    /// Second word of the title, or nothing.
+    /// Rest of the title, such as the name of a service; empty if there is none.
     pub(crate) name: String,
+    /// Keys with their values, in the order of the file.
     pairs: Vec<(String, String)>,
-    /// Values that were read as others, for the log.
-    adjusted: RefCell<Vec<Adjusted>>,
+    /// Values that were rounded, clamped or replaced by a default, for the log.
+    adjustments: RefCell<Vec<Adjustment>>,
 }
 
-/// A figure that was read as another one.
+/// A number that was rounded, clamped or replaced by a default.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Adjusted {
+pub struct Adjustment {
     /// Section and key.
     pub key: String,
-    /// The value as it stands there.
+    /// The value as written in the file.
     pub value: String,
-    /// What was read, in the unit of the setting.
-    pub read: u64,
+    /// The value that is used instead, in the base unit of the setting.
+    pub applied: u64,
 }
 
-/// Which whole number is the safe one beside a fraction.
+/// Direction in which a fraction is rounded, so that the result is the safe one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Rounding {
-    /// For what bounds this process.
+    /// For a limit on what this process may use.
     Down,
-    /// For what it has to bear.
+    /// For a load or fault that the process must withstand.
     Up,
 }
 
-/// Unit of a figure: suffixes with the factor of each.
+/// Allowed unit suffixes of a number, each with its factor to the base unit.
 type Units = &'static [(&'static str, f64)];
 
-/// A plain number.
-pub(crate) const NUMBER: Units = &[("", 1.0)];
-/// Milliseconds.
-pub(crate) const MILLIS: Units = &[("ms", 1.0), ("s", 1000.0), ("m", 60_000.0)];
-/// Bytes.
-pub(crate) const BYTES: Units = &[("", 1.0), ("MB", 1e6), ("GB", 1e9)];
+/// No suffix: a plain number.
+pub(crate) const PLAIN_UNITS: Units = &[("", 1.0)];
+/// Suffixes of a duration; the base unit is the millisecond.
+pub(crate) const DURATION_UNITS: Units = &[("ms", 1.0), ("s", 1000.0), ("m", 60_000.0)];
+/// Suffixes of a size; the base unit is the byte.
+pub(crate) const SIZE_UNITS: Units = &[("", 1.0), ("MB", 1e6), ("GB", 1e9)];
 
-/// Splits a text into its sections.
-pub(crate) fn read(file: &str, text: &str) -> Result<Vec<Section>> {
+/// Parses an INI text into its sections.
+pub(crate) fn parse_sections(file: &str, text: &str) -> Result<Vec<Section>> {
     let option = ParseOption {
         enabled_quote: false,
         enabled_escape: false,
@@ -116,14 +119,14 @@
             kind: kind.to_owned(),
             name: name.trim().to_owned(),
             pairs,
-            adjusted: RefCell::default(),
+            adjustments: RefCell::default(),
         });
     }
     Ok(sections)
 }
 
 impl Section {
-    /// A section without keys, in place of one that was left out.
+    /// A section without keys, which stands for an optional section that is absent.
     pub(crate) fn empty() -> Self {
         Section {
             file: String::new(),
@@ -131,12 +134,12 @@
             kind: String::new(),
             name: String::new(),
             pairs: Vec::new(),
-            adjusted: RefCell::default(),
+            adjustments: RefCell::default(),
         }
     }
 
-    /// An error at a key of this section.
-    pub(crate) fn wrong<A>(&self, key: &str, value: &str, allowed: A) -> Error
+    /// Builds the error for an invalid value; `allowed` describes the valid ones.
+    pub(crate) fn invalid<A>(&self, key: &str, value: &str, allowed: A) -> Error
     where
         A: Display,
     {
@@ -149,14 +152,14 @@
         }
     }
 
-    /// Reads the section into a raw struct of optional texts.
-    pub(crate) fn raw<T>(&self) -> Result<T>
+    /// Deserializes the keys into a struct that [`raw_section`] declared.
+    pub(crate) fn deserialize<T>(&self) -> Result<T>
     where
         T: DeserializeOwned,
     {
         for (i, (key, value)) in self.pairs.iter().enumerate() {
             if self.pairs[..i].iter().any(|(k, _)| k == key) {
-                return Err(self.wrong(key, value, "each key once"));
+                return Err(self.invalid(key, value, "each key once"));
             }
         }
         let pairs = self.pairs.iter().map(|(k, v)| (k.as_str(), v.as_str()));
@@ -167,20 +170,20 @@
             match found {
                 Some((key, value)) => {
                     let allowed = text.split_once("expected ").map_or(&*text, |(_, a)| a);
-                    self.wrong(key, value, format!("the keys {allowed}"))
+                    self.invalid(key, value, format!("the keys {allowed}"))
                 }
-                None => self.wrong("(section)", "", text),
+                None => self.invalid("(section)", "", text),
             }
         })
     }
 
-    /// All pairs of a section whose keys are free.
+    /// Keys and values of a section whose keys are chosen by the operator.
     pub(crate) fn pairs(&self) -> &[(String, String)] {
         &self.pairs
     }
 
-    /// A value that must be given.
-    pub(crate) fn need<'a>(
+    /// Returns the value of a required key; `what` describes it in the error.
+    pub(crate) fn required<'a>(
         &self,
         key: &str,
         value: &'a Option<String>,
@@ -189,28 +192,29 @@
         value
             .as_deref()
             .filter(|v| !v.is_empty())
-            .ok_or_else(|| self.wrong(key, "", format!("this key is needed: {what}")))
+            .ok_or_else(|| self.invalid(key, "", format!("this key is needed: {what}")))
     }
 
-    /// Parses a value that must be given.
+    /// Parses the value of a required key; `what` describes it in the error.
     pub(crate) fn parse<T>(&self, key: &str, value: &Option<String>, what: &str) -> Result<T>
     where
         T: FromStr,
     {
-        let text = self.need(key, value, what)?;
-        text.parse().map_err(|_| self.wrong(key, text, what))
+        let text = self.required(key, value, what)?;
+        text.parse().map_err(|_| self.invalid(key, text, what))
     }
 
-    /// Converts a value that must be given.
+    /// Converts the value of a required key; an invalid value is described by the
+    /// error of the conversion.
     pub(crate) fn convert<T>(&self, key: &str, value: &Option<String>, what: &str) -> Result<T>
     where
         T: for<'a> TryFrom<&'a str, Error = String>,
     {
-        let text = self.need(key, value, what)?;
-        T::try_from(text).map_err(|allowed| self.wrong(key, text, allowed))
+        let text = self.required(key, value, what)?;
+        T::try_from(text).map_err(|allowed| self.invalid(key, text, allowed))
     }
 
-    /// Parses a number within bounds, or gives the default.
+    /// Parses a whole number within bounds; an absent key gives the default.
     pub(crate) fn number(
         &self,
         key: &str,
@@ -222,15 +226,15 @@
             return Ok(default);
         };
         let what = format!("a whole number from {} to {}", bounds.start(), bounds.end());
-        let number: u64 = text.parse().map_err(|_| self.wrong(key, text, &what))?;
+        let number: u64 = text.parse().map_err(|_| self.invalid(key, text, &what))?;
         if !bounds.contains(&number) {
-            return Err(self.wrong(key, text, &what));
+            return Err(self.invalid(key, text, &what));
         }
         Ok(number)
     }
 
-    /// Like [`Section::number`], for values that fit 32 bits.
-    pub(crate) fn small(
+    /// Like [`Section::number`], for 32-bit values.
+    pub(crate) fn number_u32(
         &self,
         key: &str,
         value: &Option<String>,
@@ -242,8 +246,9 @@
         Ok(u32::try_from(number).unwrap_or(default))
     }
 
-    /// Parses a duration in milliseconds: `250ms`, `5s` or `2m`.
-    pub(crate) fn millis(
+    /// Parses a duration such as `250ms`, `5s` or `2m` into milliseconds; an absent key
+    /// gives the default.
+    pub(crate) fn duration_ms(
         &self,
         key: &str,
         value: &Option<String>,
@@ -252,11 +257,12 @@
     ) -> Result<u64> {
         let (least, most) = (bounds.start(), bounds.end());
         let what = format!("a duration such as 250ms, 5s or 2m, from {least}ms to {most}ms");
-        self.within(key, value, bounds, default, duration, what)
+        self.parse_within(key, value, bounds, default, parse_duration_ms, what)
     }
 
-    /// Parses a value with a unit by `parse`; `what` says what is right.
-    fn within<P>(
+    /// Parses a value with `parse` and checks its bounds; `what` describes the allowed
+    /// values in the error.
+    fn parse_within<P>(
         &self,
         key: &str,
         value: &Option<String>,
@@ -272,15 +278,16 @@
             return Ok(default);
         };
         let parsed = parse(text).filter(|number| bounds.contains(number));
-        parsed.ok_or_else(|| self.wrong(key, text, what))
+        parsed.ok_or_else(|| self.invalid(key, text, what))
     }
 
-    /// Reads a figure that comes from a system which does not know the bounds here: a
-    /// fraction is rounded to the safe side, what is above them counts as the highest, and
-    /// one that is missing as the default.
+    /// Parses a number leniently, because the system that generates the settings does not
+    /// know the bounds: a fraction is rounded, a value above the bounds is clamped to the
+    /// largest, and a missing number (an empty text or a unit alone) gives the default. A
+    /// value below the bounds is an error; a negative one counts as 0.
     ///
-    /// Refused, it would keep the whole fleet from starting.
-    pub(crate) fn figure(
+    /// Rejecting such a value would keep the whole fleet from starting.
+    pub(crate) fn lenient_number(
         &self,
         key: &str,
         value: &Option<String>,
@@ -298,51 +305,54 @@
         let known: Vec<&str> = units.iter().map(|(name, _)| *name).collect();
         let what = || format!("a number from {least} to {most} {}", known.join(", "));
         let factor = units.iter().find(|(name, _)| *name == unit);
-        let (_, factor) = factor.ok_or_else(|| self.wrong(key, text, what()))?;
-        let read = if digits.is_empty() {
+        let (_, factor) = factor.ok_or_else(|| self.invalid(key, text, what()))?;
+        let applied = if digits.is_empty() {
             default
         } else {
-            let number: f64 = digits.parse().map_err(|_| self.wrong(key, text, what()))?;
+            let number: f64 = digits
+                .parse()
+                .map_err(|_| self.invalid(key, text, what()))?;
             let number = match rounding {
                 Rounding::Down => (number * factor).floor(),
                 Rounding::Up => (number * factor).ceil(),
             };
-            // CAST: saturates, and what is no number is none.
+            // CAST: saturates; NaN becomes 0.
             (number as u64).min(most)
         };
-        if read < least {
-            return Err(self.wrong(key, text, what()));
+        if applied < least {
+            return Err(self.invalid(key, text, what()));
         }
-        // CAST: bounds are far below 2^53.
-        if digits.parse() != Ok(read as f64 / factor) {
-            self.adjusted.borrow_mut().push(Adjusted {
+        // CAST: the bounds are far below 2^53, so the conversion is exact.
+        if digits.parse() != Ok(applied as f64 / factor) {
+            self.adjustments.borrow_mut().push(Adjustment {
                 key: format!("{} {key}", self.title),
                 value: text.clone(),
-                read,
+                applied,
             });
         }
-        Ok(read)
+        Ok(applied)
     }
 
-    /// Figures that were read as others.
-    pub(crate) fn adjusted(&self) -> Vec<Adjusted> {
-        self.adjusted.borrow().clone()
+    /// Numbers that [`Section::lenient_number`] has rounded, clamped or replaced.
+    pub(crate) fn adjustments(&self) -> Vec<Adjustment> {
+        self.adjustments.borrow().clone()
     }
 
-    /// Parses `yes` or `no`.
+    /// Parses `yes`, `true`, `no` or `false`; an absent key gives `None`.
     pub(crate) fn flag(&self, key: &str, value: &Option<String>) -> Result<Option<bool>> {
         match value.as_deref() {
             None => Ok(None),
             Some("yes" | "true") => Ok(Some(true)),
             Some("no" | "false") => Ok(Some(false)),
-            Some(text) => Err(self.wrong(key, text, "yes or no")),
+            Some(text) => Err(self.invalid(key, text, "yes or no")),
         }
     }
 }
 
-fn duration(text: &str) -> Option<u64> {
-    let at = text.find(|c: char| !c.is_ascii_digit())?;
-    let (number, unit) = text.split_at(at);
+/// Parses digits followed by `ms`, `s` or `m`; `None` if malformed or too large.
+fn parse_duration_ms(text: &str) -> Option<u64> {
+    let unit_start = text.find(|c: char| !c.is_ascii_digit())?;
+    let (number, unit) = text.split_at(unit_start);
     let number: u64 = number.parse().ok()?;
     let factor = match unit.trim() {
         "ms" => 1,
@@ -353,8 +363,8 @@
     number.checked_mul(factor)
 }
 
-/// Splits a comma-separated list.
-pub(crate) fn list(text: &str) -> impl Iterator<Item = &str> {
+/// Splits a comma-separated list, without its empty items.
+pub(crate) fn split_list(text: &str) -> impl Iterator<Item = &str> {
     text.split(',')
         .map(str::trim)
         .filter(|part| !part.is_empty())
--- a/src/cmd/run.rs
+++ b/src/cmd/run.rs
@@ -54,12 +54,12 @@
 
 /// Logs figures that were read as others.
 fn tell_adjusted(settings: &Settings) {
-    for adjusted in &settings.adjusted {
+    for adjusted in &settings.adjustments {
         tracing::warn!(
             event = Line::SettingsAdjusted.as_str(),
             key = adjusted.key,
             value = adjusted.value,
-            read = adjusted.read,
+            read = adjusted.applied,
         );
     }
 }
