--- a/components/standin/src/count.rs
+++ b/components/standin/src/count.rs
@@ -1,47 +1,47 @@
-//! Counters that a test can read.
+//! Counters of calls and tokens, which tests read.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// What has happened so far.
+/// Counts since the start of the stand-in, and the present load.
 #[derive(Clone, Debug, Default, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Counts {
-    /// Calls whose head arrived.
+    /// Calls whose head has arrived.
     pub calls: u64,
-    /// Calls whose answer was sent to its end.
+    /// Calls whose response was sent completely.
     pub ended: u64,
-    /// Calls in the batch.
+    /// Calls in the batch now.
     pub running: u64,
-    /// Calls that wait for a place in the batch.
+    /// Calls that wait for a slot in the batch now.
     pub waiting: u64,
-    /// Most calls that were in the batch at once.
+    /// Largest number of calls that were in the batch at once.
     pub running_max: u64,
-    /// Tokens streamed.
+    /// Tokens sent; a plain response counts as one.
     pub tokens: u64,
-    /// Calls by their label.
+    /// Calls by the label in their `stand-in-id` header.
     pub labels: BTreeMap<String, u64>,
 }
 
-/// Counters behind a lock.
+/// Counts that concurrent calls update.
 #[derive(Debug, Default)]
 pub struct Counter {
     counts: Mutex<Counts>,
 }
 
 impl Counter {
-    /// The counts now.
+    /// Returns a copy of the counts.
     pub fn read(&self) -> Counts {
         self.lock().clone()
     }
 
-    /// Changes the counts.
-    pub fn change<F>(&self, act: F)
+    /// Updates the counts under the lock.
+    pub fn update<F>(&self, change: F)
     where
         F: FnOnce(&mut Counts),
     {
-        act(&mut self.lock());
+        change(&mut self.lock());
     }
 
     fn lock(&self) -> MutexGuard<'_, Counts> {
--- a/components/standin/src/fault.rs
+++ b/components/standin/src/fault.rs
@@ -1,21 +1,22 @@
-//! Misbehaviour on demand.
+//! Faults that a request can ask for.
 
-/// What goes wrong with one answer.
+/// Fault in the response to one request, named by its `stand-in-fault` header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// The answer is cut in the middle.
+    /// The response ends halfway through its body.
     Cut,
-    /// The connection is closed without an answer.
-    Silence,
-    /// The answer is a redirect to the same place.
+    /// The connection is closed without a response.
+    NoResponse,
+    /// The response is a redirect to the stand-in itself.
     Redirect,
-    /// The answer bears the identity of another request.
-    Swap,
-    /// The answer says that the server failed.
-    Broken,
-    /// The process ends while it works on the request, if it may.
+    /// The response carries the identity of another request.
+    WrongIdentity,
+    /// The status of the response is 500.
+    ServerError,
+    /// The process exits while it handles the request, if
+    /// [`Settings::may_crash`](crate::Settings::may_crash) allows it.
     Crash,
 }
 
@@ -23,10 +24,10 @@
     fn from(text: &str) -> Self {
         match text {
             "cut" => Fault::Cut,
-            "silence" => Fault::Silence,
+            "silence" => Fault::NoResponse,
             "redirect" => Fault::Redirect,
-            "swap" => Fault::Swap,
-            "broken" => Fault::Broken,
+            "swap" => Fault::WrongIdentity,
+            "broken" => Fault::ServerError,
             "crash" => Fault::Crash,
             _ => Fault::None,
         }
--- a/components/standin/src/lib.rs
+++ b/components/standin/src/lib.rs
@@ -1,12 +1,13 @@
-//! A small endpoint stand-in: it batches, streams tokens, reports its load
-//! late, counts calls, and misbehaves on demand. It is a fake, no simulator.
+//! A fake endpoint for tests and local fleets: it batches requests, streams tokens,
+//! reports its load with a delay, counts calls, and injects faults on request. It does
+//! not simulate a real engine.
 //!
-//! A request chooses its behaviour by headers: `stand-in-tokens` (count),
+//! Headers of a request select its behaviour: `stand-in-tokens` (number of tokens),
 //! `stand-in-pace` (milliseconds between tokens), `stand-in-fault` (see
-//! [`fault::Fault`]), `stand-in-id` (a label that is counted).
+//! [`fault::Fault`]), `stand-in-id` (a label whose calls are counted).
 
 pub mod count;
 pub mod fault;
 pub mod server;
 
-pub use server::{Kind, Server, Settings, CRASHED};
+pub use server::{Kind, Server, Settings, CRASH_EXIT_CODE};
--- a/components/standin/src/server.rs
+++ b/components/standin/src/server.rs
@@ -22,42 +22,42 @@
 use tokio::sync::{watch, OwnedSemaphorePermit, Semaphore};
 use tokio::task::{JoinHandle, JoinSet};
 
-/// Header that carries a request's identity, and its answer's.
-pub const IDENTITY: &str = "cowslipford-request-id";
+/// Header with the identity of a request, which its response repeats.
+pub const IDENTITY_HEADER: &str = "cowslipford-request-id";
 
-/// Exit code of a process that a request has crashed.
-pub const CRASHED: i32 = 70;
+/// Exit code of a process that [`Fault::Crash`] ended.
+pub const CRASH_EXIT_CODE: i32 = 70;
 
-/// Header that says that the stand-in leaves.
-pub const LEAVING: HeaderName = HeaderName::from_static("cowslipford-leaving");
+/// Response header of a stand-in that is about to leave the fleet.
+pub const LEAVING_HEADER: HeaderName = HeaderName::from_static("cowslipford-leaving");
 
-/// What kind of endpoint it plays.
+/// Kind of endpoint that the stand-in imitates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A model engine: answers are streams of events, one a token.
+    /// A model engine: a response is a stream of events, one for each token.
     Model,
-    /// A plain service: answers are one JSON document.
+    /// A plain service: a response is one JSON document.
     Plain,
 }
 
-/// How it behaves.
+/// Address and behaviour of a stand-in.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where it listens.
+    /// Address on which the stand-in listens.
     pub listen: SocketAddr,
-    /// What it plays.
+    /// Kind of endpoint that the stand-in imitates.
     pub kind: Kind,
-    /// Requests that it works on at once.
+    /// Size of the batch: the most requests that run at once.
     pub batch: usize,
-    /// Tokens of an answer, unless the request says otherwise.
+    /// Tokens in a response, unless the request sets `stand-in-tokens`.
     pub tokens: u32,
-    /// Time between two tokens, unless the request says otherwise.
+    /// Time between two tokens, unless the request sets `stand-in-pace`.
     pub pace: Duration,
-    /// How far its load report lags.
+    /// Delay of the load report.
     pub lag: Duration,
-    /// File to which the label of each call is appended before the call is worked on.
+    /// File to which the label of each call is appended before the call runs.
     pub record: Option<PathBuf>,
-    /// Whether a request may end the process.
+    /// Whether [`Fault::Crash`] may end the process.
     pub may_crash: bool,
 }
 
@@ -76,14 +76,19 @@
     }
 }
 
+/// State that all connections share.
 struct Shared {
     settings: Settings,
     counter: Counter,
+    /// The open file of [`Settings::record`].
     record: Option<File>,
+    /// Counts that the load report shows, [`Settings::lag`] old.
     reported: Mutex<Counts>,
+    /// One permit for each slot of the batch.
     batch: Arc<Semaphore>,
-    /// Value of `Retry-After` with which it turns work away, while it does.
-    turns_away: Mutex<Option<HeaderValue>>,
+    /// Value of `Retry-After` in the 503 responses to all requests, while it is set.
+    retry_after: Mutex<Option<HeaderValue>>,
+    /// Whether responses carry [`LEAVING_HEADER`].
     is_leaving: AtomicBool,
 }
 
@@ -95,26 +100,26 @@
     task: JoinHandle<()>,
 }
 
-type Body = Either<Full<Bytes>, Channel<Bytes, Broken>>;
+type Body = Either<Full<Bytes>, Channel<Bytes, Aborted>>;
 
-/// The error that cuts an answer.
+/// The error that aborts a response or closes its connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Broken;
+pub struct Aborted;
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for Aborted {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("cut on demand")
+        f.write_str("aborted by an injected fault")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for Aborted {}
 
 impl Server {
-    /// Starts it.
+    /// Binds the address and starts to serve.
     ///
     /// # Errors
     ///
-    /// When the address is taken, or the record cannot be opened.
+    /// [`Error::File`] if the address cannot be bound or the record cannot be opened.
     pub async fn start(settings: Settings) -> Result<Self> {
         let listener = TcpListener::bind(settings.listen)
             .await
@@ -132,7 +137,7 @@
             counter: Counter::default(),
             record,
             reported: Mutex::default(),
-            turns_away: Mutex::default(),
+            retry_after: Mutex::default(),
             is_leaving: AtomicBool::new(false),
         });
         let (stop, stopped) = watch::channel(false);
@@ -145,33 +150,35 @@
         })
     }
 
-    /// Where it listens.
+    /// Address on which the stand-in listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it has counted.
+    /// Returns the present counts.
     pub fn counts(&self) -> Counts {
         self.shared.counter.read()
     }
 
-    /// Stops it at once and joins its tasks.
+    /// Closes all connections at once and waits for the tasks to end.
     pub async fn stop(self) {
-        // Nobody listens only when the task has ended already.
+        // Sending fails only if the task has already ended.
         let _ = self.stop.send(true);
         let _ = self.task.await;
     }
 }
 
+/// Opens the record for appending.
 fn open_record(path: &PathBuf) -> Result<File> {
     let mut options = OpenOptions::new();
     let opened = options.create(true).append(true).open(path);
     opened.map_err(Error::file("open the record", path.display().to_string()))
 }
 
+/// Serves connections until `stopped` changes.
 async fn run(listener: TcpListener, shared: Arc<Shared>, mut stopped: watch::Receiver<bool>) {
     let mut tasks = JoinSet::new();
-    tasks.spawn(report(shared.clone()));
+    tasks.spawn(publish_load(shared.clone()));
     loop {
         let stream = tokio::select! {
             accepted = listener.accept() => match accepted {
@@ -183,17 +190,17 @@
         };
         let shared = shared.clone();
         tasks.spawn(async move {
-            let service = service_fn(move |request| answer(shared.clone(), request));
+            let service = service_fn(move |request| respond(shared.clone(), request));
             let server = hyper::server::conn::http1::Builder::new();
-            // A caller that goes away is no error of ours.
+            // The only errors are those of the connection, such as a caller that disconnects.
             let _ = server.serve_connection(TokioIo::new(stream), service).await;
         });
     }
     tasks.shutdown().await;
 }
 
-/// Publishes the counts late, as engines do.
-async fn report(shared: Arc<Shared>) {
+/// Publishes the counts with a delay, as the load reports of engines lag.
+async fn publish_load(shared: Arc<Shared>) {
     loop {
         let counts = shared.counter.read();
         tokio::time::sleep(shared.settings.lag).await;
@@ -204,7 +211,11 @@
     }
 }
 
-async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Result<Response<Body>, Broken> {
+/// Serves the control paths below `/stand-in/`; every other path is work.
+async fn respond(
+    shared: Arc<Shared>,
+    request: Request<Incoming>,
+) -> Result<Response<Body>, Aborted> {
     match request.uri().path() {
         "/stand-in/load" => {
             let reported = shared.reported.lock();
@@ -218,7 +229,7 @@
         }
         "/stand-in/turn-away" => {
             let value = request.uri().query().map(HeaderValue::from_str);
-            *shared.turning_away() = value.and_then(Result::ok);
+            *shared.retry_after() = value.and_then(Result::ok);
             Ok(json(StatusCode::OK, String::new()))
         }
         "/stand-in/leave" => {
@@ -226,22 +237,27 @@
             Ok(json(StatusCode::OK, String::new()))
         }
         _ => {
-            let answered = work(shared.clone(), request).await;
+            let response = handle_work(shared.clone(), request).await;
             let is_leaving = shared.is_leaving.load(Ordering::Relaxed);
-            answered.map(|response| with_leaving(response, is_leaving))
+            response.map(|response| with_leaving_header(response, is_leaving))
         }
     }
 }
 
-fn with_leaving(mut response: Response<Body>, is_leaving: bool) -> Response<Body> {
+fn with_leaving_header(mut response: Response<Body>, is_leaving: bool) -> Response<Body> {
     if is_leaving {
         let value = HeaderValue::from_static("1");
-        response.headers_mut().insert(LEAVING, value);
+        response.headers_mut().insert(LEAVING_HEADER, value);
     }
     response
 }
 
-async fn work(shared: Arc<Shared>, request: Request<Incoming>) -> Result<Response<Body>, Broken> {
+/// Handles a request: counts and records the call, rejects it while `Retry-After` is set,
+/// waits for a slot in the batch, and responds with the fault that the headers select.
+async fn handle_work(
+    shared: Arc<Shared>,
+    request: Request<Incoming>,
+) -> Result<Response<Body>, Aborted> {
     let header = |name: &str| {
         let value = request.headers().get(name).and_then(|v| v.to_str().ok());
         value.map(str::to_owned)
@@ -252,9 +268,9 @@
     let pace = number("stand-in-pace").map_or(shared.settings.pace, |ms| {
         Duration::from_millis(u64::from(ms))
     });
-    let identity = header(IDENTITY).unwrap_or_default();
+    let identity = header(IDENTITY_HEADER).unwrap_or_default();
     let label = header("stand-in-id");
-    shared.counter.change(|c| {
+    shared.counter.update(|c| {
         c.calls += 1;
         if let Some(label) = &label {
             *c.labels.entry(label.clone()).or_default() += 1;
@@ -264,23 +280,23 @@
         let text = serde_json::json!({"error": format!("write the record: {error}")});
         return Ok(json(StatusCode::INTERNAL_SERVER_ERROR, text.to_string()));
     }
-    let turned_away = shared.turning_away().clone();
-    if let Some(after) = turned_away {
+    let retry_after = shared.retry_after().clone();
+    if let Some(value) = retry_after {
         let mut response = json(StatusCode::SERVICE_UNAVAILABLE, String::new());
-        response.headers_mut().insert(RETRY_AFTER, after);
+        response.headers_mut().insert(RETRY_AFTER, value);
         return Ok(response);
     }
     let body = request
         .into_body()
         .collect()
         .await
-        .map_err(|_| Broken)?
+        .map_err(|_| Aborted)?
         .to_bytes();
-    let place = Place::enter(&shared).await;
-    if fault == Fault::Silence {
-        return Err(Broken);
+    let slot = Slot::acquire(&shared).await;
+    if fault == Fault::NoResponse {
+        return Err(Aborted);
     }
-    let identity = if fault == Fault::Swap {
+    let identity = if fault == Fault::WrongIdentity {
         "ffffffffffffffff-0".to_owned()
     } else {
         identity
@@ -288,63 +304,72 @@
     let mut response = match shared.settings.kind {
         _ if fault == Fault::Redirect => {
             let mut response = json(StatusCode::TEMPORARY_REDIRECT, String::new());
-            let here = HeaderValue::from_static("/again");
-            response.headers_mut().insert(LOCATION, here);
+            let location = HeaderValue::from_static("/again");
+            response.headers_mut().insert(LOCATION, location);
             response
         }
-        _ if fault == Fault::Broken => json(StatusCode::INTERNAL_SERVER_ERROR, String::new()),
+        _ if fault == Fault::ServerError => json(StatusCode::INTERNAL_SERVER_ERROR, String::new()),
         Kind::Plain => {
             tokio::time::sleep(pace).await;
             shared.crash(fault);
-            place.end(1);
-            plain(&body, fault)
+            slot.end_call(1);
+            respond_plain(&body, fault)
         }
-        Kind::Model => stream(place, &body, tokens, pace, fault),
+        Kind::Model => respond_stream(slot, &body, tokens, pace, fault),
     };
     if let Ok(value) = HeaderValue::from_str(&identity) {
-        response.headers_mut().insert(IDENTITY, value);
+        response.headers_mut().insert(IDENTITY_HEADER, value);
     }
     Ok(response)
 }
 
-fn plain(body: &Bytes, fault: Fault) -> Response<Body> {
+/// The response of a plain service, which echoes the body of the request.
+fn respond_plain(body: &Bytes, fault: Fault) -> Response<Body> {
     let echo = String::from_utf8_lossy(body);
     let text = serde_json::json!({"echo": echo, "done": true}).to_string();
     if fault == Fault::Cut {
-        return cut(text);
+        return respond_cut(text);
     }
     json(StatusCode::OK, text)
 }
 
-/// An answer whose length is announced and not reached.
-fn cut(text: String) -> Response<Body> {
+/// A response that ends after half of its `Content-Length`.
+fn respond_cut(text: String) -> Response<Body> {
     let (mut sender, channel) = Channel::new(4);
     let half = Bytes::from(text[..text.len() / 2].to_owned());
     tokio::spawn(async move {
-        // The head must be out before the cut, or there is no answer to cut.
+        // Aborted before its head is sent, the response would not reach the caller at all.
         let sent = sender.send_data(half).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
         if sent.is_ok() {
-            sender.abort(Broken);
+            sender.abort(Aborted);
         }
     });
     let mut response = Response::new(Either::Right(channel));
     let length = HeaderValue::from(text.len());
     response.headers_mut().insert(CONTENT_LENGTH, length);
-    with_type(response, "application/json")
+    with_content_type(response, "application/json")
 }
 
-fn stream(place: Place, body: &Bytes, tokens: u32, pace: Duration, fault: Fault) -> Response<Body> {
+/// The response of a model engine, a stream of tokens.
+fn respond_stream(
+    slot: Slot,
+    body: &Bytes,
+    tokens: u32,
+    pace: Duration,
+    fault: Fault,
+) -> Response<Body> {
     let (sender, channel) = Channel::new(4);
     let echo = String::from_utf8_lossy(body).into_owned();
-    // The task ends with its answer or with its caller.
-    tokio::spawn(write_tokens(place, sender, echo, tokens, pace, fault));
-    with_type(Response::new(Either::Right(channel)), "text/event-stream")
+    // The task ends when the response is complete or the caller disconnects.
+    tokio::spawn(write_tokens(slot, sender, echo, tokens, pace, fault));
+    with_content_type(Response::new(Either::Right(channel)), "text/event-stream")
 }
 
+/// Sends one event for each token and the usage at the end, unless a fault intervenes.
 async fn write_tokens(
-    place: Place,
-    mut sender: Sender<Bytes, Broken>,
+    slot: Slot,
+    mut sender: Sender<Bytes, Aborted>,
     echo: String,
     tokens: u32,
     pace: Duration,
@@ -352,10 +377,10 @@
 ) {
     for n in 0..tokens {
         if n > 0 {
-            place.shared.crash(fault);
+            slot.shared.crash(fault);
         }
         if fault == Fault::Cut && n >= tokens / 2 {
-            sender.abort(Broken);
+            sender.abort(Aborted);
             return;
         }
         tokio::time::sleep(pace).await;
@@ -364,94 +389,99 @@
         if sender.send_data(line).await.is_err() {
             return;
         }
-        place.shared.counter.change(|c| c.tokens += 1);
+        slot.shared.counter.update(|c| c.tokens += 1);
     }
     let usage = serde_json::json!({"usage": {"tokens": tokens}});
     let last = Bytes::from(format!(": {usage}\n\n"));
     if sender.send_data(last).await.is_ok() {
-        place.end(0);
+        slot.end_call(0);
     }
 }
 
 impl Shared {
-    fn turning_away(&self) -> MutexGuard<'_, Option<HeaderValue>> {
-        let value = self.turns_away.lock();
+    fn retry_after(&self) -> MutexGuard<'_, Option<HeaderValue>> {
+        let value = self.retry_after.lock();
         value.unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Ends the process if that is the fault, without a word to anyone.
+    /// Ends the process without a clean shutdown, if the fault is a crash and it is allowed.
     fn crash(&self, fault: Fault) {
         if fault == Fault::Crash && self.settings.may_crash {
-            std::process::exit(CRASHED);
+            std::process::exit(CRASH_EXIT_CODE);
         }
     }
 
     /// Appends a call's label to the record.
     ///
-    /// The counters end with the process. Without the record, a test that kills
-    /// stand-ins could not tell a request that ran before the kill from one that
+    /// The counters are lost with the process. With the record, a test that kills
+    /// stand-ins can distinguish a request that ran before the kill from one that
     /// never ran.
     fn record(&self, label: Option<&str>) -> std::io::Result<()> {
         let (Some(mut file), Some(label)) = (self.record.as_ref(), label) else {
             return Ok(());
         };
-        // One write a line: lines of calls that arrive together do not mix.
+        // A single write for each line keeps the lines of concurrent calls apart.
         file.write_all(format!("{label}\n").as_bytes())
     }
 }
 
-/// A place in the batch, given back when dropped.
-struct Place {
+/// A slot in the batch, released on drop.
+struct Slot {
     shared: Arc<Shared>,
     _permit: Option<OwnedSemaphorePermit>,
 }
 
-impl Place {
-    async fn enter(shared: &Arc<Shared>) -> Self {
-        shared.counter.change(|c| c.waiting += 1);
+impl Slot {
+    /// Waits for a free slot.
+    async fn acquire(shared: &Arc<Shared>) -> Self {
+        shared.counter.update(|c| c.waiting += 1);
         let waiting = Waiting(shared.clone());
         let permit = shared.batch.clone().acquire_owned().await.ok();
         drop(waiting);
-        shared.counter.change(|c| {
+        shared.counter.update(|c| {
             c.running += 1;
             c.running_max = c.running_max.max(c.running);
         });
-        Place {
+        Slot {
             shared: shared.clone(),
             _permit: permit,
         }
     }
 
-    fn end(&self, tokens: u64) {
-        self.shared.counter.change(|c| {
+    /// Counts a completed call and its tokens.
+    fn end_call(&self, tokens: u64) {
+        self.shared.counter.update(|c| {
             c.ended += 1;
             c.tokens += tokens;
         });
     }
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
-        self.shared.counter.change(|c| c.running -= 1);
+        self.shared.counter.update(|c| c.running -= 1);
     }
 }
 
+/// A call that waits for a slot; it is counted as waiting until this is dropped, also if the
+/// caller disconnects.
 struct Waiting(Arc<Shared>);
 
 impl Drop for Waiting {
     fn drop(&mut self) {
-        self.0.counter.change(|c| c.waiting -= 1);
+        self.0.counter.update(|c| c.waiting -= 1);
     }
 }
 
+/// A response with a JSON body.
 fn json(status: StatusCode, text: String) -> Response<Body> {
     let mut response = Response::new(Either::Left(Full::new(Bytes::from(text))));
     *response.status_mut() = status;
-    with_type(response, "application/json")
+    with_content_type(response, "application/json")
 }
 
-fn with_type(mut response: Response<Body>, kind: &'static str) -> Response<Body> {
-    let value = HeaderValue::from_static(kind);
+fn with_content_type(mut response: Response<Body>, content_type: &'static str) -> Response<Body> {
+    let value = HeaderValue::from_static(content_type);
     response.headers_mut().insert(CONTENT_TYPE, value);
     response
 }
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -148,7 +148,7 @@
         for stand_in in &mut self.fleet.stand_ins {
             // However it ended: the record is what counts.
             let ended = stand_in.process.ended();
-            if ended.is_some_and(|status| status.code() == Some(standin::CRASHED)) {
+            if ended.is_some_and(|status| status.code() == Some(standin::CRASH_EXIT_CODE)) {
                 self.world.ledger.count("engine crashed");
                 stand_in.process.start();
             }
