--- a/components/node/src/process.rs
+++ b/components/node/src/process.rs
@@ -208,7 +208,7 @@
     /// Applies the settings that can change while a process runs: the places of control VMs. All
     /// others need a restart.
     pub fn apply(&self, settings: &Settings) {
-        let seeds = settings.peers.places().to_vec();
+        let seeds = settings.peers.nodes().to_vec();
         // If the reactor has ended, the process is stopping.
         let _ = self.reactor.send(Input::Seeds(seeds));
     }
@@ -252,7 +252,7 @@
     /// Control VMs named in the settings, with the bound port of this VM if the settings left it
     /// open.
     fn seeds(&self) -> Vec<Node> {
-        let mut seeds: Vec<Node> = self.settings.peers.places().to_vec();
+        let mut seeds: Vec<Node> = self.settings.peers.nodes().to_vec();
         for seed in &mut seeds {
             if seed.vm == self.node.vm && seed.address.port() == 0 {
                 seed.address = self.node.address;
@@ -266,7 +266,7 @@
         let named = settings.vm.descriptors.unwrap_or(u64::MAX);
         let limit = transport::descriptor::limit().unwrap_or(u64::MAX);
         let vm = Resources {
-            memory_bytes: settings.vm.memory,
+            memory_bytes: settings.vm.memory_bytes,
             descriptors: named.min(limit),
         };
         let budget = Budget::from(vm);
@@ -443,7 +443,7 @@
             )
             .await?,
         );
-        let memory = self.settings.vm.memory;
+        let memory = self.settings.vm.memory_bytes;
         let budget = Starter::budget(&self.settings);
         let monitor = monitor::run(
             lateness.clone(),
@@ -534,7 +534,7 @@
     match peers {
         Peers::Named(_) => Admission::Seeds,
         Peers::Seeds(seeds) => Admission::Open {
-            may_bootstrap: control.begins,
+            may_bootstrap: control.may_bootstrap,
             // There are at most three seeds, but a fleet may need more than three voters to
             // survive the losses that it should.
             voters: seeds.len().max(control.voters()),
