--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line: subcommands, arguments and the `--help` text.
 
 use argh::FromArgs;
 use std::net::SocketAddr;
@@ -6,63 +6,64 @@
 
 /// A router fleet that shares endpoints fairly among customers.
 ///
-/// Exit codes: 0 done; 1 failed; 2 bad input; 3 refused, such as a change that
-/// was based on an older version.
+/// Exit codes: 0 success; 1 failure; 2 invalid input; 3 refused by the fleet, for
+/// example a change that is based on an outdated version.
 #[derive(Debug, FromArgs)]
 pub(crate) struct Cowslipford {
     #[argh(subcommand)]
     pub(crate) command: Command,
 }
 
-/// The commands.
+/// The subcommands.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub(crate) enum Command {
-    /// Runs one process.
+    /// Runs one process of the fleet.
     Run(Run),
-    /// Runs a small fleet for trying.
+    /// Runs a demo fleet.
     Dev(Dev),
-    /// Runs the endpoint stand-in.
+    /// Runs a simulated endpoint.
     StandIn(StandIn),
-    /// Checks a file.
+    /// Validates a settings or configuration file.
     Check(Check),
-    /// Sends a configuration.
+    /// Submits a configuration.
     Apply(Apply),
-    /// Prints the configuration.
+    /// Prints the configuration in force.
     Get(Get),
-    /// Announces a planned stop.
+    /// Announces a planned stop of a VM or an endpoint.
     Stop(Stop),
     /// Evacuates a data centre.
     Evacuate(Evacuate),
-    /// Serves a quarantined request again.
+    /// Releases a request from quarantine.
     Unquarantine(Unquarantine),
     /// Shows the fleet's state.
     Status(Status),
     /// Explains how a request ended.
     Explain(Explain),
-    /// Shows the time line.
+    /// Prints the merged events of all processes.
     Timeline(Timeline),
-    /// Makes keys.
+    /// Creates certificates and private keys.
     Keys(Keys),
-    /// Sends load.
+    /// Generates load.
     Load(Load),
 }
 
-/// Start one process of the fleet: router, scheduler and control, as its settings say.
+/// Start one process of the fleet: router, scheduler and control VM, as set in its settings.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
     name = "run",
     example = "{command_name} r1.ini",
-    note = "SIGTERM or Ctrl-C: takes nothing new, ends what is in progress, exits with 0."
+    note = "On SIGTERM or Ctrl-C the process refuses new requests, completes those in progress \
+            and exits with 0."
 )]
 pub(crate) struct Run {
-    /// file with the settings
+    /// settings file of the process
     #[argh(positional)]
     pub(crate) settings: PathBuf,
 }
 
-/// Start the smallest whole fleet in one process on the loopback, for trying.
+/// Start a complete demo fleet in one process on the loopback interface.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
@@ -71,50 +72,50 @@
     example = "{command_name} --callers 127.0.0.1:0 --operators 127.0.0.1:0"
 )]
 pub(crate) struct Dev {
-    /// callers' address, 127.0.0.1:8080 by default; port 0 lets the system choose
+    /// address that serves callers, 127.0.0.1:8080 by default; port 0 picks a free port
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 8080))")]
     pub(crate) callers: SocketAddr,
-    /// operators' address, 127.0.0.1:8081 by default; port 0 lets the system choose
+    /// address that serves operators, 127.0.0.1:8081 by default; port 0 picks a free port
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 8081))")]
     pub(crate) operators: SocketAddr,
 }
 
-/// Start the endpoint stand-in: a small fake of a model engine or a plain service.
+/// Start a stand-in endpoint that simulates a model engine or a plain HTTP service.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
     name = "stand-in",
     example = "{command_name} --listen 127.0.0.1:9001 --batch 8",
     example = "{command_name} --listen 127.0.0.1:9002 --plain",
-    note = "A request chooses its behaviour by headers: stand-in-tokens, stand-in-pace (ms), \
+    note = "Request headers set the behaviour: stand-in-tokens, stand-in-pace (ms), \
             stand-in-fault (cut, silence, redirect, swap, broken), stand-in-id (a label). \
-            GET /stand-in/calls gives its counters, GET /stand-in/load its lagging load."
+            GET /stand-in/calls returns the counters, GET /stand-in/load the delayed load report."
 )]
 pub(crate) struct StandIn {
-    /// address, 127.0.0.1:9001 by default; port 0 lets the system choose
+    /// address to listen on, 127.0.0.1:9001 by default; port 0 picks a free port
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 9001))")]
     pub(crate) listen: SocketAddr,
-    /// play a plain service instead of a model engine
+    /// simulate a plain HTTP service instead of a model engine
     #[argh(switch)]
     pub(crate) plain: bool,
-    /// requests worked on at once, 8 by default
+    /// requests processed concurrently, 8 by default
     #[argh(option, default = "8")]
     pub(crate) batch: usize,
-    /// tokens of an answer, 20 by default
+    /// tokens per answer, 20 by default
     #[argh(option, default = "20")]
     pub(crate) tokens: u32,
     /// milliseconds between tokens, 5 by default
     #[argh(option, default = "5")]
     pub(crate) pace: u64,
-    /// milliseconds by which its load report lags, 1000 by default
+    /// milliseconds by which the load report is delayed, 1000 by default
     #[argh(option, default = "1000")]
     pub(crate) lag: u64,
-    /// file to which the label of each call is appended
+    /// file to which the label of each request is appended
     #[argh(option)]
     pub(crate) record: Option<PathBuf>,
 }
 
-/// Check settings or a configuration without starting anything.
+/// Validate a settings or configuration file without starting a process.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
@@ -124,7 +125,7 @@
     note = "A file with a [vm] section is read as settings, any other as a configuration.",
     error_code(
         2,
-        "a line is bad; file, section, key, value and what is allowed are named"
+        "a line is invalid; the error names file, section, key, value and the allowed values"
     )
 )]
 pub(crate) struct Check {
@@ -133,30 +134,34 @@
     pub(crate) file: PathBuf,
 }
 
-/// Send customers, services, endpoints and rules as one change.
+/// Submit customers, services, endpoints and rules as one change.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
     name = "apply",
     example = "{command_name} fleet.ini --key operator",
     example = "{command_name} fleet.ini --key operator --base 41 --id 5f0c",
-    error_code(2, "the configuration is wrong; nothing was changed"),
-    error_code(3, "someone else's change came first; the current version is named")
+    error_code(2, "the configuration is invalid; nothing was changed"),
+    error_code(
+        3,
+        "another change was accepted first; the error names the current version"
+    )
 )]
 pub(crate) struct Apply {
-    /// file with the whole configuration
+    /// file with the complete configuration
     #[argh(positional)]
     pub(crate) file: PathBuf,
     /// version that the change is based on; the current one by default
     #[argh(option)]
     pub(crate) base: Option<u64>,
-    /// identity of the change in hexadecimal; a resend with the same gets the first answer
+    /// identifier of the change in hexadecimal, random by default; submitting it again returns
+    /// the first result
     #[argh(option)]
     pub(crate) id: Option<String>,
-    /// operators' address of any process, 127.0.0.1:8081 by default
+    /// operators' address of any process of the fleet, 127.0.0.1:8081 by default
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 8081))")]
     pub(crate) operators: SocketAddr,
-    /// operators' key
+    /// operators' key, operator by default
     #[argh(option, default = "String::from(\"operator\")")]
     pub(crate) key: String,
 }
@@ -169,10 +174,10 @@
     example = "{command_name} --key operator > fleet.ini"
 )]
 pub(crate) struct Get {
-    /// operators' address of any process, 127.0.0.1:8081 by default
+    /// operators' address of any process of the fleet, 127.0.0.1:8081 by default
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 8081))")]
     pub(crate) operators: SocketAddr,
-    /// operators' key
+    /// operators' key, operator by default
     #[argh(option, default = "String::from(\"operator\")")]
     pub(crate) key: String,
 }
@@ -185,75 +190,75 @@
     example = "{command_name} endpoint assistant-1",
     example = "{command_name} vm r1",
     example = "{command_name} endpoint assistant-1 --back",
-    note = "An endpoint gets no new work from then on. A VM takes nothing new, ends what is in \
-            progress and exits. Neither cuts a request in progress."
+    note = "A stopping endpoint gets no new requests. A stopping VM refuses new requests, \
+            completes those in progress and exits. Requests in progress are not interrupted."
 )]
 pub(crate) struct Stop {
-    /// what stops: vm or endpoint
+    /// kind of what stops: vm or endpoint
     #[argh(positional)]
     pub(crate) kind: String,
-    /// its name
+    /// name of the VM or endpoint
     #[argh(positional)]
     pub(crate) name: String,
-    /// the endpoint is back
+    /// announce that the endpoint is available again
     #[argh(switch)]
     pub(crate) back: bool,
-    /// operators' address of any process, 127.0.0.1:8081 by default
+    /// operators' address of any process of the fleet, 127.0.0.1:8081 by default
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 8081))")]
     pub(crate) operators: SocketAddr,
-    /// operators' key
+    /// operators' key, operator by default
     #[argh(option, default = "String::from(\"operator\")")]
     pub(crate) key: String,
 }
 
-/// Send nothing more to the endpoints of a data centre, until `--end`.
+/// Stop sending requests to the endpoints of a data centre, until `--end`.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
     name = "evacuate",
     example = "{command_name} dk-1",
     example = "{command_name} dk-1 --end",
-    note = "Requests in progress there end as they would. Given again, the same order changes \
-            nothing. Exit code 2 for a data centre that the fleet does not know.",
+    note = "Requests in progress there are completed. Repeating the command has no further \
+            effect. The exit code is 2 if the fleet does not know the data centre.",
     error_code(2, "no data centre has that name; nothing was changed")
 )]
 pub(crate) struct Evacuate {
     /// name of the data centre
     #[argh(positional)]
     pub(crate) data_centre: String,
-    /// send requests there again
+    /// end the evacuation: send requests there again
     #[argh(switch)]
     pub(crate) end: bool,
-    /// operators' address of any process, 127.0.0.1:8081 by default
+    /// operators' address of any process of the fleet, 127.0.0.1:8081 by default
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 8081))")]
     pub(crate) operators: SocketAddr,
-    /// operators' key
+    /// operators' key, operator by default
     #[argh(option, default = "String::from(\"operator\")")]
     pub(crate) key: String,
 }
 
-/// Serve a request again that is quarantined since it crashed endpoints.
+/// Release a request that is quarantined because it crashed endpoints.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
     name = "unquarantine",
     example = "{command_name} 71197ba8f0e9dd0bc98307d9e85bac10",
-    note = "`status` shows the fingerprints, and log lines of requests that endpoints broke off \
-            bear theirs. Three more crashes bring the quarantine back."
+    note = "`status` lists quarantined fingerprints. Log lines of requests whose endpoint broke off \
+            contain the fingerprint, too. Three more crashes quarantine the request again."
 )]
 pub(crate) struct Unquarantine {
     /// fingerprint of the request
     #[argh(positional)]
     pub(crate) fingerprint: String,
-    /// operators' address of any process, 127.0.0.1:8081 by default
+    /// operators' address of any process of the fleet, 127.0.0.1:8081 by default
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 8081))")]
     pub(crate) operators: SocketAddr,
-    /// operators' key
+    /// operators' key, operator by default
     #[argh(option, default = "String::from(\"operator\")")]
     pub(crate) key: String,
 }
 
-/// Show version, members, queues, slots and counters of all processes.
+/// Show version, members, queues, slots and counters of all reachable processes.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
@@ -262,35 +267,36 @@
     example = "{command_name} --json"
 )]
 pub(crate) struct Status {
-    /// print JSON lines, one a process
+    /// print one JSON line per process
     #[argh(switch)]
     pub(crate) json: bool,
-    /// operators' address of any process, 127.0.0.1:8081 by default
+    /// operators' address of any process of the fleet, 127.0.0.1:8081 by default
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 8081))")]
     pub(crate) operators: SocketAddr,
-    /// operators' key
+    /// operators' key, operator by default
     #[argh(option, default = "String::from(\"operator\")")]
     pub(crate) key: String,
 }
 
-/// Follow one request through the logs of several processes, the cause first.
+/// Explain how one request ended, from the logs of several processes.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
     name = "explain",
     example = "{command_name} 9c41d07be2a35f68 r1.log r2.log c1.log",
-    note = "The logs are JSON lines, as [log] format = json writes them to standard output."
+    note = "Expects logs in JSON lines, as processes with [log] format = json write them to \
+            standard output. Prints the cause first, then the log lines of the request."
 )]
 pub(crate) struct Explain {
-    /// identity of the request: the router's, or its caller's
+    /// id of the request, as the router or the caller assigned it
     #[argh(positional)]
     pub(crate) id: String,
-    /// log files
+    /// log files, one per process
     #[argh(positional)]
     pub(crate) files: Vec<PathBuf>,
 }
 
-/// Merge the events of all processes into one time line, cause before effect.
+/// Merge the events of all processes into one timeline in causal order.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
@@ -300,7 +306,7 @@
     example = "{command_name} --format page > timeline.html"
 )]
 pub(crate) struct Timeline {
-    /// text, json (one line an event) or page (one HTML file); text by default
+    /// output format: text, json (one line per event) or page (one HTML file); text by default
     #[argh(option, default = "String::from(\"text\")")]
     pub(crate) format: String,
     /// only events of this request
@@ -312,27 +318,28 @@
     /// only events at this endpoint
     #[argh(option)]
     pub(crate) endpoint: Option<String>,
-    /// only events of the last milliseconds
+    /// only events of this many milliseconds before the newest event
     #[argh(option)]
     pub(crate) last: Option<u64>,
-    /// operators' address of any process, 127.0.0.1:8081 by default
+    /// operators' address of any process of the fleet, 127.0.0.1:8081 by default
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 8081))")]
     pub(crate) operators: SocketAddr,
-    /// operators' key
+    /// operators' key, operator by default
     #[argh(option, default = "String::from(\"operator\")")]
     pub(crate) key: String,
 }
 
-/// Make the fleet's certificate authority and one certificate a VM.
+/// Create the fleet's certificate authority and one certificate per VM.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
     name = "keys",
     example = "{command_name} keys c1 c2 c3 r1 r2",
-    note = "An authority that is there already is used again. Keep authority.key off the VMs."
+    note = "An existing authority is reused; certificates of the named VMs are replaced. Do not \
+            copy authority.key to the VMs."
 )]
 pub(crate) struct Keys {
-    /// folder for the files
+    /// folder for the certificates and keys
     #[argh(positional)]
     pub(crate) folder: PathBuf,
     /// names of VMs
@@ -340,46 +347,47 @@
     pub(crate) vms: Vec<String>,
 }
 
-/// Send load to a router, or to an endpoint directly, and report what was measured.
+/// Send load to a router, or to an endpoint directly, and report throughput and latency.
 #[derive(Debug, FromArgs)]
 #[argh(
     subcommand,
     name = "load",
     example = "{command_name} --target 127.0.0.1:8080 --key alpha --callers 8 --requests 400",
-    note = "Prints one JSON line: requests a second, latencies in microseconds, statuses."
+    note = "Prints one JSON line: requests per second, latencies in microseconds, status counts."
 )]
 pub(crate) struct Load {
-    /// address to send to
+    /// address of the router or endpoint, 127.0.0.1:8080 by default
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 8080))")]
     pub(crate) target: SocketAddr,
-    /// customers' key
+    /// key of the customer, alpha by default
     #[argh(option, default = "String::from(\"alpha\")")]
     pub(crate) key: String,
-    /// path, /assistant by default
+    /// request path, /assistant by default
     #[argh(option, default = "String::from(\"/assistant\")")]
     pub(crate) path: String,
-    /// method, POST by default
+    /// request method, POST by default
     #[argh(option, default = "String::from(\"POST\")")]
     pub(crate) method: String,
-    /// callers at once, 8 by default
+    /// concurrent callers, 8 by default
     #[argh(option, default = "8")]
     pub(crate) callers: usize,
-    /// requests in all, 400 by default
+    /// total number of requests, 400 by default
     #[argh(option, default = "400")]
     pub(crate) requests: usize,
-    /// requests a second over all callers; as fast as answers come by default
+    /// requests per second over all callers; by default each caller sends its next request as
+    /// soon as the previous one is answered
     #[argh(option)]
     pub(crate) rate: Option<f64>,
-    /// bytes of a body, 64 by default
+    /// bytes of each request body, 64 by default
     #[argh(option, default = "64")]
     pub(crate) bytes: usize,
-    /// give each request an Idempotency-Key of its own
+    /// send a unique Idempotency-Key with each request
     #[argh(switch)]
     pub(crate) keys: bool,
-    /// tokens to ask a stand-in for
+    /// tokens per answer to request from a stand-in endpoint
     #[argh(option)]
     pub(crate) tokens: Option<u32>,
-    /// milliseconds between a stand-in's tokens
+    /// milliseconds between tokens of a stand-in endpoint
     #[argh(option)]
     pub(crate) pace: Option<u32>,
 }
--- a/src/cmd/dev.rs
+++ b/src/cmd/dev.rs
@@ -1,4 +1,5 @@
-//! `cowslipford dev`: the smallest whole fleet in one process.
+//! `cowslipford dev`: a demo fleet in one process, with a router, a scheduler, a control VM and
+//! two stand-in endpoints.
 
 use super::client::Client;
 use super::run::{runtime, StopSignals};
@@ -14,24 +15,25 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Key of operators in a fleet for trying.
-const OPERATOR: &str = "operator";
-/// Longest wait for the fleet to become ready.
-const READY: Duration = Duration::from_secs(20);
+/// Operators' key of the demo fleet.
+const OPERATOR_KEY: &str = "operator";
+/// Longest wait for the process to become ready, and for the first answered request.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs until told to stop.
+/// Runs the demo fleet until a signal or an operator stops it.
 pub(crate) fn run(args: &Dev) -> Result<(), Failure> {
     let folder = std::env::temp_dir().join(format!("cowslipford-dev-{}", std::process::id()));
     let ended = runtime()?.block_on(serve(args, &folder));
-    // What was made for trying goes with it; what cannot be removed is harmless.
+    // The folder holds demo certificates and data only, so leftovers are harmless.
     let _ = std::fs::remove_dir_all(&folder);
     ended
 }
 
+/// Starts the fleet and its endpoints, applies the configuration, and waits for the stop.
 async fn serve(args: &Dev, folder: &Path) -> Result<(), Failure> {
     let mut stop = StopSignals::listen()?;
     let name = Name::try_from("dev").map_err(Failure::Input)?;
-    keys::make(folder, &[name])?;
+    keys::create(folder, &[name])?;
     let settings = settings(args, folder)?;
     log::start(&settings.log);
     let mut process = Process::start(settings, Interface::native()).await?;
@@ -56,8 +58,9 @@
     Ok(ended?)
 }
 
+/// Settings of the only VM; they refer to certificates in `folder`.
 fn settings(args: &Dev, folder: &Path) -> Result<Settings> {
-    let key = Hash::of(&[OPERATOR.as_bytes()]).hex();
+    let key = Hash::of(&[OPERATOR_KEY.as_bytes()]).hex();
     let text = format!(
         "[vm]\nname = dev\ndata-centre = here\n\
          [link]\nlisten = 127.0.0.1:0\n\
@@ -73,6 +76,7 @@
     Settings::parse("(dev)", folder, &text)
 }
 
+/// Starts a stand-in endpoint on a free port.
 async fn stand_in(kind: Kind) -> Result<Server> {
     Server::start(standin::Settings {
         kind,
@@ -81,18 +85,26 @@
     .await
 }
 
+/// Waits until the process takes requests.
+///
+/// # Errors
+///
+/// When it is not ready within [`READY_TIMEOUT`].
 async fn wait_ready(process: &Process) -> Result<()> {
     let wait = async {
         while !process.is_ready() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(READY, wait)
+    tokio::time::timeout(READY_TIMEOUT, wait)
         .await
         .map_err(Error::peer("start the fleet", "dev"))
 }
 
-/// Waits until a request of each customer is answered.
+/// Waits until a request of customer `alpha` succeeds, at most [`READY_TIMEOUT`].
+///
+/// An accepted configuration may not be in force on the router yet. After the timeout the fleet
+/// keeps running, and its addresses are printed anyway.
 async fn wait_served(callers: SocketAddr) -> Result<()> {
     let probe = move || {
         let began = std::time::Instant::now();
@@ -101,16 +113,18 @@
                 .with_header("Authorization", "Bearer alpha")
                 .with_timeout(5)
                 .send();
-            if sent.as_ref().is_ok_and(|r| r.status_code == 200) || began.elapsed() > READY {
+            if sent.as_ref().is_ok_and(|r| r.status_code == 200) || began.elapsed() > READY_TIMEOUT
+            {
                 return;
             }
             std::thread::sleep(Duration::from_millis(20));
         }
     };
     let joined = tokio::task::spawn_blocking(probe).await;
-    joined.map_err(Error::peer("try the fleet", callers))
+    joined.map_err(Error::peer("probe the fleet", callers))
 }
 
+/// Configuration of two customers, two services with one endpoint each, and their rules.
 fn configuration(model: SocketAddr, plain: SocketAddr) -> String {
     let customer = |name: &str| {
         let key = Hash::of(&[name.as_bytes()]).hex();
@@ -128,32 +142,34 @@
     )
 }
 
+/// Submits the configuration as the fleet's first change.
 fn apply(operators: SocketAddr, text: String) -> Result<(), Failure> {
-    let client = Client { key: OPERATOR };
+    let client = Client { key: OPERATOR_KEY };
     client
         .post(operators, "/config?id=1&base=0", text)?
-        .accepted()?;
+        .error_for_status()?;
     Ok(())
 }
 
+/// Prints the addresses and commands to try, for pasting into a shell.
 fn print_help(callers: SocketAddr, operators: SocketAddr) {
     let program = std::env::current_exe().unwrap_or_else(|_| PathBuf::from("cowslipford"));
     let program = program
         .file_name()
         .map_or_else(String::new, |n| n.to_string_lossy().into());
-    say!("cowslipford is ready: callers on {callers}, operators on {operators}");
-    say!("");
-    say!("A streamed answer of the model service:");
-    say!("  curl -N -H 'Authorization: Bearer alpha' -d 'a plan for Monday' \\");
-    say!("    http://{callers}/assistant");
-    say!("");
-    say!("A booking that runs once, however often it is sent:");
-    say!("  curl -i -H 'Authorization: Bearer beta' -H 'Idempotency-Key: monday-9' \\");
-    say!("    -d 'Monday at nine' http://{callers}/booking");
-    say!("");
-    say!("The state, and what happened:");
-    say!("  {program} status --operators {operators}");
-    say!("  {program} timeline --operators {operators}");
-    say!("");
-    say!("Ctrl-C ends it.");
+    print_line!("cowslipford is ready: callers on {callers}, operators on {operators}");
+    print_line!("");
+    print_line!("Stream an answer of the model service:");
+    print_line!("  curl -N -H 'Authorization: Bearer alpha' -d 'a plan for Monday' \\");
+    print_line!("    http://{callers}/assistant");
+    print_line!("");
+    print_line!("Make a booking that runs only once, however often the request is sent:");
+    print_line!("  curl -i -H 'Authorization: Bearer beta' -H 'Idempotency-Key: monday-9' \\");
+    print_line!("    -d 'Monday at nine' http://{callers}/booking");
+    print_line!("");
+    print_line!("Show the state of the fleet and its recent events:");
+    print_line!("  {program} status --operators {operators}");
+    print_line!("  {program} timeline --operators {operators}");
+    print_line!("");
+    print_line!("Press Ctrl-C to stop the fleet.");
 }
--- a/src/cmd/failure.rs
+++ b/src/cmd/failure.rs
@@ -1,21 +1,22 @@
-//! How a command fails, and the exit code of each way.
+//! Failures of a command and their exit codes.
 
 use errors::Error;
 use std::fmt;
 
-/// A failed command.
+/// Why a command failed.
 #[derive(Debug)]
 pub(crate) enum Failure {
-    /// Something went wrong.
+    /// An operation failed, such as a file access or a call to the fleet.
     Failed(Error),
-    /// The input is bad; nothing was changed.
+    /// The input is invalid; nothing was changed.
     Input(String),
-    /// The fleet refused.
+    /// The fleet refused the command, for example a change based on an outdated version.
     Refused(String),
 }
 
 impl Failure {
-    /// Exit code.
+    /// Exit code of the process: 1 failure, 2 invalid input, 3 refused. An invalid settings or
+    /// configuration file counts as invalid input.
     pub(crate) fn code(&self) -> u8 {
         match self {
             Failure::Failed(Error::Setting { .. }) | Failure::Input(_) => 2,
--- a/src/cmd/get.rs
+++ b/src/cmd/get.rs
@@ -4,11 +4,11 @@
 use super::Failure;
 use crate::cli::Get;
 
-/// Prints a file that `apply` takes.
+/// Prints the configuration as a file that `apply` accepts, with the version in a comment.
 pub(crate) fn run(args: &Get) -> Result<(), Failure> {
     let client = Client { key: &args.key };
-    let answer = client.get(args.operators, "/config")?.accepted()?;
-    say!("; version {}", answer.version.unwrap_or_default());
-    say!("{}", answer.body.trim_end());
+    let response = client.get(args.operators, "/config")?.error_for_status()?;
+    print_line!("; version {}", response.version.unwrap_or_default());
+    print_line!("{}", response.body.trim_end());
     Ok(())
 }
--- a/src/cmd/keys.rs
+++ b/src/cmd/keys.rs
@@ -1,4 +1,4 @@
-//! `cowslipford keys`: the fleet's authority and its VMs' certificates.
+//! `cowslipford keys`: creates the fleet's certificate authority and the certificates of its VMs.
 
 use super::Failure;
 use crate::cli::Keys;
@@ -10,7 +10,7 @@
 use std::path::Path;
 use transport::tls::{self, Identity};
 
-/// Makes what is missing.
+/// Creates the files and prints a summary.
 pub(crate) fn run(args: &Keys) -> Result<(), Failure> {
     let mut vms = Vec::new();
     for vm in &args.vms {
@@ -18,18 +18,19 @@
             .map_err(|allowed| Failure::Input(format!("{vm:?}: {allowed}")))?;
         vms.push(name);
     }
-    make(&args.folder, &vms)?;
-    say!(
-        "{}: authority and {} certificates",
+    create(&args.folder, &vms)?;
+    print_line!(
+        "{}: certificate authority and {} VM certificates",
         args.folder.display(),
         vms.len()
     );
     Ok(())
 }
 
-/// Makes an authority, unless there is one, and certificates for these VMs.
-pub(crate) fn make(folder: &Path, vms: &[Name]) -> Result<()> {
-    fs::create_dir_all(folder).map_err(Error::file("make a folder", folder))?;
+/// Creates a certificate authority in `folder` unless it has one, and issues a certificate to
+/// each VM, in place of an earlier one.
+pub(crate) fn create(folder: &Path, vms: &[Name]) -> Result<()> {
+    fs::create_dir_all(folder).map_err(Error::file("create a folder", folder))?;
     let certificate = folder.join("authority.pem");
     let key = folder.join("authority.key");
     let authority = if certificate.exists() && key.exists() {
@@ -38,10 +39,10 @@
             key: read(&key)?,
         }
     } else {
-        let made = tls::create_authority()?;
-        write(&certificate, &made.certificate, 0o644)?;
-        write(&key, &made.key, 0o600)?;
-        made
+        let created = tls::create_authority()?;
+        write(&certificate, &created.certificate, 0o644)?;
+        write(&key, &created.key, 0o600)?;
+        created
     };
     for vm in vms {
         let pair = tls::issue_certificate(&authority, vm)?;
@@ -55,6 +56,7 @@
     fs::read_to_string(path).map_err(Error::file("read", path))
 }
 
+/// Writes a file, created with this mode.
 fn write(path: &Path, text: &str, mode: u32) -> Result<()> {
     let opened = fs::OpenOptions::new()
         .write(true)
--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -1,4 +1,4 @@
-//! `cowslipford load`: a small load tool for the whole path.
+//! `cowslipford load`: a load generator that measures latency and throughput end to end.
 
 use super::Failure;
 use crate::cli::Load;
@@ -11,24 +11,27 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Longest time for one answer.
-const ANSWER: Duration = Duration::from_secs(60);
+/// Longest wait for more of a response before the request counts as failed.
+const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Longest latency that is told apart, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
+/// Upper bound of the latency histograms, in microseconds; higher latencies count as this one.
+const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// What one caller measured.
+/// What one caller, or all together, measured.
 struct Sample {
-    /// Microseconds to the first byte and to the end.
-    first: Histogram<u64>,
-    whole: Histogram<u64>,
+    /// Time from the connection attempt to the first byte of the response, in microseconds.
+    first_byte_us: Histogram<u64>,
+    /// Time to the end of the response, in microseconds.
+    whole_us: Histogram<u64>,
+    /// Responses by HTTP status.
     statuses: BTreeMap<u16, u64>,
+    /// Requests without a complete response.
     errors: u64,
 }
 
-/// Sends the load and prints one JSON line.
+/// Sends the load from one thread per caller, and prints the result as one JSON line.
 pub(crate) fn run(args: &Load) -> Result<(), Failure> {
-    let parts = Arc::new(request(args));
+    let parts = Arc::new(build_request(args));
     let run: u64 = rand::random();
     let keys = args.keys;
     let next = Arc::new(AtomicUsize::new(0));
@@ -44,11 +47,11 @@
                 if number >= count {
                     return Ok(sample);
                 }
-                wait_turn(began, number, rate);
+                wait_until_due(began, number, rate);
                 let key = keys.then(|| format!("Idempotency-Key: {run:x}-{number}\r\n"));
                 let (head, body) = &*parts;
                 let request = [head.as_bytes(), key.unwrap_or_default().as_bytes(), body].concat();
-                sample.take(call(target, &request));
+                sample.record(call(target, &request));
             }
         }));
     }
@@ -56,16 +59,16 @@
     for caller in callers {
         let joined = caller.join().map_err(|_| Error::Key {
             step: "send load",
-            reason: "a caller's thread has failed".to_owned(),
+            reason: "a caller's thread panicked".to_owned(),
         })?;
-        total.add(&joined?)?;
+        total.merge(&joined?)?;
     }
     print(args, &total, began.elapsed());
     Ok(())
 }
 
-/// Waits until the time of a request that is sent at a rate.
-fn wait_turn(began: Instant, number: usize, rate: Option<f64>) {
+/// Sleeps until a request is due, by its number, if requests are sent at a rate per second.
+fn wait_until_due(began: Instant, number: usize, rate: Option<f64>) {
     if let Some(rate) = rate {
         let at = Duration::from_secs_f64(number as f64 / rate.max(0.001));
         std::thread::sleep(at.saturating_sub(began.elapsed()));
@@ -74,34 +77,41 @@
 
 impl Sample {
     fn new() -> Result<Self> {
-        // A histogram without bounds turns what it cannot hold yet into its least.
+        // With bounds, as `saturating_record` clamps values to the current range: a histogram
+        // that grows on demand starts with a range of almost nothing, and is not grown by it.
         let histogram = || {
-            let made = Histogram::new_with_bounds(1, LONGEST_US, 3);
+            let made = Histogram::new_with_bounds(1, MAX_LATENCY_US, 3);
             made.map_err(Error::key("make a histogram"))
         };
         Ok(Sample {
-            first: histogram()?,
-            whole: histogram()?,
+            first_byte_us: histogram()?,
+            whole_us: histogram()?,
             statuses: BTreeMap::new(),
             errors: 0,
         })
     }
 
-    fn take(&mut self, called: Result<(u16, Duration, Duration)>) {
+    /// Records one call.
+    fn record(&mut self, called: Result<(u16, Duration, Duration)>) {
         let Ok((status, first, whole)) = called else {
             self.errors += 1;
             return;
         };
         let micros = |d: Duration| u64::try_from(d.as_micros()).unwrap_or(u64::MAX);
-        self.first.saturating_record(micros(first));
-        self.whole.saturating_record(micros(whole));
+        self.first_byte_us.saturating_record(micros(first));
+        self.whole_us.saturating_record(micros(whole));
         *self.statuses.entry(status).or_default() += 1;
     }
 
-    fn add(&mut self, other: &Sample) -> Result<()> {
-        let step = "join histograms";
-        self.first.add(&other.first).map_err(Error::key(step))?;
-        self.whole.add(&other.whole).map_err(Error::key(step))?;
+    /// Adds what another caller measured.
+    fn merge(&mut self, other: &Sample) -> Result<()> {
+        let step = "merge histograms";
+        self.first_byte_us
+            .add(&other.first_byte_us)
+            .map_err(Error::key(step))?;
+        self.whole_us
+            .add(&other.whole_us)
+            .map_err(Error::key(step))?;
         for (status, count) in &other.statuses {
             *self.statuses.entry(*status).or_default() += count;
         }
@@ -110,8 +120,9 @@
     }
 }
 
-/// The head without its end, and what follows it.
-fn request(args: &Load) -> (String, Vec<u8>) {
+/// Builds a request in two parts, between which further headers fit: the head without the blank
+/// line that ends it, and the blank line with the body.
+fn build_request(args: &Load) -> (String, Vec<u8>) {
     let mut head = format!(
         "{} {} HTTP/1.1\r\nHost: {}\r\nAuthorization: Bearer {}\r\nConnection: close\r\n\
          Content-Length: {}\r\n",
@@ -128,14 +139,14 @@
     (head, body)
 }
 
-/// One call on a connection of its own: status, time to the first byte, and
-/// to the end.
+/// Sends one request on a new connection. Returns the status, the time to the first byte and
+/// the time to the end of the response.
 fn call(target: std::net::SocketAddr, request: &[u8]) -> Result<(u16, Duration, Duration)> {
     let step = "send a request";
     let began = Instant::now();
     let mut stream = TcpStream::connect(target).map_err(Error::peer(step, target))?;
     stream
-        .set_read_timeout(Some(ANSWER))
+        .set_read_timeout(Some(READ_TIMEOUT))
         .map_err(Error::peer(step, target))?;
     stream
         .set_nodelay(true)
@@ -153,7 +164,7 @@
     let status = status.ok_or_else(|| Error::Peer {
         step,
         peer: target.to_string(),
-        reason: "the answer is no HTTP".to_owned(),
+        reason: "the response is not HTTP".to_owned(),
     })?;
     while stream
         .read(&mut buffer)
@@ -163,6 +174,7 @@
     Ok((status, first, began.elapsed()))
 }
 
+/// Prints the result as one JSON line.
 fn print(args: &Load, total: &Sample, time: Duration) {
     let quantiles = |h: &Histogram<u64>| {
         serde_json::json!({
@@ -175,13 +187,13 @@
     let line = serde_json::json!({
         "target": args.target.to_string(),
         "callers": args.callers,
-        "requests": total.whole.len(),
+        "requests": total.whole_us.len(),
         "errors": total.errors,
         "seconds": time.as_secs_f64(),
-        "per-second": total.whole.len() as f64 / time.as_secs_f64(),
-        "first-byte-us": quantiles(&total.first),
-        "whole-us": quantiles(&total.whole),
+        "per-second": total.whole_us.len() as f64 / time.as_secs_f64(),
+        "first-byte-us": quantiles(&total.first_byte_us),
+        "whole-us": quantiles(&total.whole_us),
         "statuses": total.statuses,
     });
-    say!("{line}");
+    print_line!("{line}");
 }
--- a/src/cmd/log.rs
+++ b/src/cmd/log.rs
@@ -1,4 +1,5 @@
-//! Logs to standard output, which never hold the process up.
+//! Logging to standard output that never blocks the process: lines pass through a bounded
+//! queue to a writer thread, and are dropped and counted when it is full.
 
 use coordination::limit::Window;
 use flume::{Receiver, Sender};
@@ -12,37 +13,37 @@
 use tracing_subscriber::fmt::MakeWriter;
 use tracing_subscriber::EnvFilter;
 
-/// Lines that wait for whoever reads standard output, about a megabyte; past them
-/// lines are dropped and counted.
+/// Capacity of the queue to the writer thread, in lines: about a megabyte. Further lines are
+/// dropped and counted.
 ///
-/// A reader that stops would else stop the process with its next line: one would
-/// see requests hang that have nothing to do with logs.
-const WAITING: usize = 4096;
+/// With a blocking write, a reader that stops reading would stall the process at its next log
+/// line, and requests would hang.
+const MAX_QUEUED_LINES: usize = 4096;
 
-/// Lines that are written in a second at most, about a megabyte; the rest is dropped
-/// and counted. A flood of refused requests must not cost more than its answers.
-const LINES_A_SECOND: u64 = 2500;
+/// Rate limit of lines, about a megabyte per second; further lines are dropped and counted, so
+/// that logging a flood of refused requests does not cost more than answering them.
+const MAX_LINES_PER_SECOND: u64 = 2500;
 
-/// Bytes that are written at once: a pipe takes so many (`PIPE_BUF`) whole or not at
-/// all. Larger writes were seen cut in the middle of a line, and what other processes
-/// write to the same pipe may come between.
-const WRITE_MAX: usize = 4096;
+/// Largest batch of lines in one write, in bytes: `PIPE_BUF`, up to which a write to a pipe is
+/// atomic. Larger writes can be cut in the middle of a line, or interleave with the output of
+/// other processes on the same pipe.
+const MAX_WRITE_BYTES: usize = 4096;
 
-/// Starts logging as the settings say.
+/// Starts logging with the level and format of the settings.
 pub(crate) fn start(log: &Log) {
     let filter = EnvFilter::new(format!("{},quinn=warn,rustls=warn,hyper=warn", log.level));
-    let (sender, receiver) = flume::bounded(WAITING);
+    let (sender, receiver) = flume::bounded(MAX_QUEUED_LINES);
     let dropped = Arc::new(AtomicU64::new(0));
     let output = Output {
         sender,
         dropped: dropped.clone(),
-        ceiling: Arc::new(Mutex::new(Window::new(LINES_A_SECOND))),
-        began: Instant::now(),
+        rate: Arc::new(Mutex::new(Window::new(MAX_LINES_PER_SECOND))),
+        started: Instant::now(),
     };
     let lines = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(output);
-    // A second start in the same process keeps the first.
+    // If logging has been started in this process before, the first start stays in effect.
     let started = if log.json {
         lines
             .json()
@@ -53,22 +54,25 @@
         lines.with_ansi(false).try_init()
     };
     if started.is_ok() {
-        // The thread ends with the process: it waits for lines until then.
+        // The thread waits for lines until the process exits.
         let thread = std::thread::Builder::new().name("log".to_owned());
-        if let Err(error) = thread.spawn(move || write(&receiver, &dropped)) {
-            eprintln!("cowslipford: logs are lost: {error}");
+        if let Err(error) = thread.spawn(move || write_lines(&receiver, &dropped)) {
+            eprintln!("cowslipford: logging is disabled: cannot start the writer thread: {error}");
         }
     }
 }
 
-fn write(lines: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
-    // Locked for each batch alone: kept, what a command prints would wait for ever.
+/// Writes queued lines in batches, and a line with the count of dropped ones. Runs on the
+/// writer thread.
+fn write_lines(lines: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
+    // Each write locks standard output on its own: a lock held across batches would block
+    // everything that a command prints.
     let mut out = io::stdout();
     let mut next = None;
     while let Some(first) = next.take().or_else(|| lines.recv().ok()) {
         let mut batch = first;
         while let Ok(line) = lines.try_recv() {
-            if batch.len() + line.len() > WRITE_MAX {
+            if batch.len() + line.len() > MAX_WRITE_BYTES {
                 next = Some(line);
                 break;
             }
@@ -80,32 +84,34 @@
             let line = format!("{{\"level\":\"WARN\",\"event\":\"{event}\",\"lines\":{lost}}}\n");
             batch.extend_from_slice(line.as_bytes());
         }
-        // Nobody is left to read them; the process goes on without.
+        // A write fails when the reader has closed the pipe: the process runs on without logs.
         let _ = out.write_all(&batch).and_then(|()| out.flush());
     }
 }
 
-/// Takes lines for the thread that writes them.
+/// A writer that queues each line for the writer thread.
 #[derive(Clone)]
 struct Output {
     sender: Sender<Vec<u8>>,
     dropped: Arc<AtomicU64>,
-    ceiling: Arc<Mutex<Window>>,
-    began: Instant,
+    rate: Arc<Mutex<Window>>,
+    /// Start of logging, the zero of the rate limit's clock.
+    started: Instant,
 }
 
 impl Output {
-    fn has_room(&self) -> bool {
-        let now = u64::try_from(self.began.elapsed().as_millis()).unwrap_or(u64::MAX);
-        let ceiling = self.ceiling.lock();
-        let mut ceiling = ceiling.unwrap_or_else(PoisonError::into_inner);
-        ceiling.admits(Millis(now))
+    /// Whether the rate limit admits one more line now.
+    fn admits_line(&self) -> bool {
+        let now = u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX);
+        let rate = self.rate.lock();
+        let mut rate = rate.unwrap_or_else(PoisonError::into_inner);
+        rate.admits(Millis(now))
     }
 }
 
 impl Write for Output {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        if !self.has_room() || self.sender.try_send(line.to_vec()).is_err() {
+        if !self.admits_line() || self.sender.try_send(line.to_vec()).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,10 +1,10 @@
-//! The commands, one file each.
+//! The implementation of the commands, one module each.
 
-/// Prints a line as `println` does, but for a reader that has seen enough.
+/// Prints a line to standard output, and ignores errors.
 ///
-/// `println` panics once the other end of a pipe is closed: `explain ... | head -1`
-/// would end with a trace. Nobody is left to tell, and nothing has failed.
-macro_rules! say {
+/// `println` panics once the reader has closed the pipe, as in `explain ... | head -1`,
+/// although the command has not failed.
+macro_rules! print_line {
     ($($line:tt)*) => {{
         use std::io::Write as _;
         let _ = writeln!(std::io::stdout(), $($line)*);
@@ -34,7 +34,7 @@
 
 use crate::cli::{Command, Cowslipford};
 
-/// Runs a command.
+/// Runs the command that the command line names.
 pub(crate) fn run(line: Cowslipford) -> Result<(), Failure> {
     match line.command {
         Command::Run(args) => run::run(&args),
--- a/src/cmd/run.rs
+++ b/src/cmd/run.rs
@@ -1,4 +1,5 @@
-//! `cowslipford run`: one process of the fleet.
+//! `cowslipford run`: one process of the fleet. Also holds the runtime and the signal handling
+//! that other commands share.
 
 use super::{log, Failure};
 use crate::cli::Run;
@@ -10,21 +11,23 @@
 use std::time::Duration;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// Time between two looks whether the settings file has changed.
-const LOOK: Duration = Duration::from_secs(1);
+/// Interval at which the settings file is checked for changes.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs until told to stop, by a signal or by the operators.
+/// Runs the process until a signal or an operator stops it.
 pub(crate) fn run(args: &Run) -> Result<(), Failure> {
     runtime()?.block_on(async {
-        // Before anything else: a stop that comes while the process starts is a planned one.
+        // Signals are handled before anything else, so that one that arrives during the start
+        // leads to an orderly stop, too.
         let stop = StopSignals::listen()?;
         let settings = Settings::read(&args.settings)?;
         log::start(&settings.log);
-        tell_adjusted(&settings);
+        log_adjusted(&settings);
         serve(settings, &args.settings, stop).await
     })
 }
 
+/// Starts the process, and watches its settings file until the process ends.
 async fn serve(settings: Settings, file: &Path, mut stop: StopSignals) -> Result<(), Failure> {
     let interface = interface(&settings)?;
     let mut process = Process::start(settings.clone(), interface).await?;
@@ -32,7 +35,7 @@
     let ended = tokio::select! {
         ended = process.wait() => ended,
         () = stop.received() => Ok(()),
-        () = follow(file, settings, &reloader) => Ok(()),
+        () = watch_settings(file, settings, &reloader) => Ok(()),
     };
     if ended.is_ok() {
         process.stop().await;
@@ -40,7 +43,7 @@
     Ok(ended?)
 }
 
-/// The way of speaking that the settings name.
+/// The interface to callers and endpoints that the settings name: `own` or the platform's.
 pub(crate) fn interface(settings: &Settings) -> Result<Interface, Failure> {
     match settings.vm.interface.as_str() {
         "own" => Ok(Interface::native()),
@@ -52,8 +55,8 @@
     }
 }
 
-/// Logs figures that were read as others.
-fn tell_adjusted(settings: &Settings) {
+/// Logs a warning for each setting whose value was adjusted.
+fn log_adjusted(settings: &Settings) {
     for adjusted in &settings.adjusted {
         tracing::warn!(
             event = Line::SettingsAdjusted.as_str(),
@@ -64,9 +67,9 @@
     }
 }
 
-/// Follows the settings file, on SIGHUP and when it changes without one. A file
-/// that is wrong is told of, and the last good one stays.
-async fn follow(file: &Path, mut settings: Settings, reloader: &node::Reloader) {
+/// Reloads the settings file on SIGHUP and whenever its content changes. An invalid file is
+/// logged, once for each error, and the last valid settings stay in effect. Never returns.
+async fn watch_settings(file: &Path, mut settings: Settings, reloader: &node::Reloader) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return std::future::pending().await;
     };
@@ -74,7 +77,7 @@
     loop {
         tokio::select! {
             _ = hangup.recv() => {}
-            () = tokio::time::sleep(LOOK) => {}
+            () = tokio::time::sleep(RELOAD_INTERVAL) => {}
         }
         match Settings::read(file) {
             Ok(read) if read != settings => {
@@ -102,11 +105,11 @@
 }
 
 impl StopSignals {
-    /// Listens from now on; what comes before [`StopSignals::received`] is kept.
+    /// Installs the handlers; a signal that arrives before [`StopSignals::received`] is kept.
     ///
     /// # Errors
     ///
-    /// When the system refuses a handler.
+    /// When the system rejects a handler.
     pub(crate) fn listen() -> Result<Self, Failure> {
         let listen = |kind| signal(kind).map_err(Error::file("listen for signals", "(process)"));
         Ok(StopSignals {
@@ -115,7 +118,7 @@
         })
     }
 
-    /// Waits for one of them.
+    /// Waits for the next stop signal.
     pub(crate) async fn received(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
@@ -124,7 +127,7 @@
     }
 }
 
-/// The runtime that all commands use. Two threads: a small VM has few cores.
+/// Creates the async runtime of a command. Two worker threads suit VMs with few cores.
 pub(crate) fn runtime() -> Result<tokio::runtime::Runtime, Failure> {
     let built = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
--- a/src/cmd/stand_in.rs
+++ b/src/cmd/stand_in.rs
@@ -1,4 +1,4 @@
-//! `cowslipford stand-in`: the endpoint stand-in alone.
+//! `cowslipford stand-in`: a simulated endpoint in a process of its own.
 
 use super::run::{runtime, StopSignals};
 use super::Failure;
@@ -6,7 +6,7 @@
 use standin::{Kind, Server, Settings};
 use std::time::Duration;
 
-/// Runs until told to stop.
+/// Serves until SIGTERM or Ctrl-C.
 pub(crate) fn run(args: &StandIn) -> Result<(), Failure> {
     let settings = Settings {
         listen: args.listen,
@@ -21,7 +21,7 @@
     runtime()?.block_on(async {
         let mut stop = StopSignals::listen()?;
         let server = Server::start(settings).await?;
-        say!("listening on {}", server.address());
+        print_line!("listening on {}", server.address());
         stop.received().await;
         server.stop().await;
         Ok(())
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,28 +1,28 @@
-//! `cowslipford status`: the state of all processes.
+//! `cowslipford status`: prints the state of all processes of the fleet.
 
 use super::client::Client;
 use super::Failure;
 use crate::cli::Status;
 use serde_json::Value;
 
-/// Prints the state of each process that can be reached.
+/// Prints the state of each reachable process, and which ones lag behind the newest version.
 pub(crate) fn run(args: &Status) -> Result<(), Failure> {
     let client = Client { key: &args.key };
-    let fleet = client.fleet(args.operators)?;
+    let fleet = client.discover_fleet(args.operators)?;
     let mut newest = 0;
     let mut pages = Vec::new();
     for peer in &fleet {
-        match client.json::<Value>(peer.operators, "/status") {
+        match client.get_json::<Value>(peer.operators, "/status") {
             Ok(page) => {
                 newest = newest.max(page["version"].as_u64().unwrap_or(0));
                 pages.push(page);
             }
-            Err(failure) => eprintln!("cowslipford: {} is left out: {failure}", peer.vm),
+            Err(failure) => eprintln!("cowslipford: skipped {}: {failure}", peer.vm),
         }
     }
     for page in &pages {
         if args.json {
-            say!("{page}");
+            print_line!("{page}");
         } else {
             print(page);
         }
@@ -33,6 +33,7 @@
     Ok(())
 }
 
+/// Prints the status page of one process as text.
 fn print(page: &Value) {
     let text = |v: &Value| v.as_str().unwrap_or("-").to_owned();
     let state = match (page["stopping"].as_bool(), page["ready"].as_bool()) {
@@ -40,8 +41,8 @@
         (_, Some(true)) => "ready",
         _ => "not ready",
     };
-    say!(
-        "{:<12} {:<9} version {} in progress {} fed by {}",
+    print_line!(
+        "{:<12} {:<9} version {} in progress {} parent {}",
         text(&page["vm"]),
         state,
         page["version"],
@@ -49,13 +50,13 @@
         text(&page["parent"]),
     );
     for fingerprint in page["quarantined"].as_array().into_iter().flatten() {
-        say!("  quarantined: {}", text(fingerprint));
+        print_line!("  quarantined: {}", text(fingerprint));
     }
     for data_centre in page["evacuated"].as_array().into_iter().flatten() {
-        say!("  evacuated: {}", text(data_centre));
+        print_line!("  evacuated: {}", text(data_centre));
     }
     if let Some(control) = page["control"].as_object() {
-        say!(
+        print_line!(
             "  control: {} term {} accepted {} voters {} learners {}",
             text(&control["role"]),
             control["term"],
@@ -65,13 +66,13 @@
         );
     }
     for (customer, count) in page["waiting"].as_object().into_iter().flatten() {
-        say!("  waiting: {customer} {count}");
+        print_line!("  waiting: {customer} {count}");
     }
     for shard in page["local"].as_array().into_iter().flatten() {
-        say!("  local: without a scheduler for {shard}");
+        print_line!("  local: schedules {shard} itself, without a scheduler");
     }
     for epoch in page["schedulers"].as_array().into_iter().flatten() {
-        say!(
+        print_line!(
             "  schedules {} since epoch {}: running {} of {} slots, waiting {}, routers {}",
             epoch["shard"],
             epoch["epoch"],
@@ -81,12 +82,12 @@
             epoch["routers"],
         );
         for (customer, level) in epoch["levels"].as_object().into_iter().flatten() {
-            say!("    service received: {customer} {level}");
+            print_line!("    service received: {customer} {level}");
         }
     }
 }
 
-/// Names the processes that have not confirmed the newest version.
+/// Prints which processes have a version older than the newest one.
 fn report_lagging(pages: &[Value], newest: u64) {
     let behind = |p: &&Value| p["version"].as_u64().is_some_and(|v| v < newest);
     let lagging: Vec<&str> = pages
@@ -95,12 +96,12 @@
         .filter_map(|p| p["vm"].as_str())
         .collect();
     if lagging.is_empty() {
-        say!(
+        print_line!(
             "version {newest} is in force on all {} processes",
             pages.len()
         );
     } else {
-        say!(
+        print_line!(
             "version {newest} is not yet in force on: {}",
             lagging.join(", ")
         );
--- a/src/cmd/stop.rs
+++ b/src/cmd/stop.rs
@@ -1,11 +1,11 @@
-//! `cowslipford stop`: announces a planned stop.
+//! `cowslipford stop`: announces a planned stop of a VM or an endpoint, or an endpoint's return.
 
 use super::client::Client;
 use super::Failure;
 use crate::cli::Stop;
 use state::id::Name;
 
-/// Announces the stop.
+/// Submits the announcement.
 pub(crate) fn run(args: &Stop) -> Result<(), Failure> {
     let name = Name::try_from(args.name.as_str())
         .map_err(|allowed| Failure::Input(format!("{:?}: {allowed}", args.name)))?;
@@ -14,24 +14,24 @@
         ("endpoint", false) => format!("/stop?endpoint={name}"),
         ("endpoint", true) => format!("/stop?endpoint-back={name}"),
         ("vm", false) => {
-            let fleet = client.fleet(args.operators)?;
+            let fleet = client.discover_fleet(args.operators)?;
             let found = fleet.into_iter().find(|p| p.vm == name);
             let Some(peer) = found else {
-                return Err(Failure::Input(format!("no VM {name} can be reached")));
+                return Err(Failure::Input(format!("VM {name} is not reachable")));
             };
             format!("/stop?vm={name}&incarnation={}", peer.incarnation)
         }
         ("vm", true) => {
-            let text = "a VM comes back by being started again";
+            let text = "--back is for endpoints only: to bring a VM back, start it again";
             return Err(Failure::Input(text.to_owned()));
         }
         (other, _) => {
-            return Err(Failure::Input(format!("{other:?}: say vm or endpoint")));
+            return Err(Failure::Input(format!("{other:?}: vm or endpoint")));
         }
     };
     client
         .post(args.operators, &path, String::new())?
-        .accepted()?;
-    say!("announced: {} {name}", args.kind);
+        .error_for_status()?;
+    print_line!("announced: {} {name}", args.kind);
     Ok(())
 }
--- a/src/cmd/unquarantine.rs
+++ b/src/cmd/unquarantine.rs
@@ -1,11 +1,11 @@
-//! `cowslipford unquarantine`: serves a quarantined request again.
+//! `cowslipford unquarantine`: releases a request from quarantine.
 
 use super::client::Client;
 use super::Failure;
 use crate::cli::Unquarantine;
 use state::fingerprint::Fingerprint;
 
-/// Ends the quarantine.
+/// Submits the release.
 pub(crate) fn run(args: &Unquarantine) -> Result<(), Failure> {
     let fingerprint = Fingerprint::try_from(args.fingerprint.as_str())
         .map_err(|allowed| Failure::Input(format!("{:?}: {allowed}", args.fingerprint)))?;
@@ -13,7 +13,7 @@
     let path = format!("/unquarantine?fingerprint={fingerprint}");
     client
         .post(args.operators, &path, String::new())?
-        .accepted()?;
-    say!("served again: {fingerprint}");
+        .error_for_status()?;
+    print_line!("served again: {fingerprint}");
     Ok(())
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `cowslipford` binary.
+//! The `cowslipford` binary: parses the command line, runs the command and sets the exit code.
 
 mod cli;
 mod cmd;
