--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -1,6 +1,8 @@
-//! Slopes for docs/CAPACITY.md, from real processes on one machine.
+//! Resource use of a fleet of real processes on one machine, by its size and load, from which
+//! docs/CAPACITY.md derives its formulas.
 //!
-//! `cargo bench --bench capacity` prints one JSON line for each point.
+//! `cargo bench --bench capacity` runs all measurements, `cargo bench --bench capacity -- NAME`
+//! only one. Most points print one line per group of processes, with a JSON object.
 
 #[path = "../tests/harness/mod.rs"]
 mod harness;
@@ -9,24 +11,27 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Time for which each point is measured.
-const SPAN: Duration = Duration::from_secs(8);
+/// Duration of the measurement of each point.
+const POINT_DURATION: Duration = Duration::from_secs(8);
 
-/// What one process has used so far.
+/// Resources that one process has used since its start, and its current memory.
 #[derive(Clone, Debug, Default)]
 struct Usage {
-    /// Bytes of frames sent, by kind.
-    kinds: BTreeMap<String, f64>,
+    /// Bytes of frames sent, by kind of frame.
+    frame_bytes: BTreeMap<String, f64>,
     cpu_ms: f64,
     rss_kb: f64,
+    /// UDP datagrams sent and received, and the bytes of their payload.
     datagrams: f64,
-    bytes: f64,
+    datagram_bytes: f64,
 }
 
+/// Reads the usage of a process from `/proc` and from its metrics.
 fn usage(vm: &Vm) -> Usage {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", vm.pid())).unwrap_or_default();
     let after = stat.rsplit(") ").next().unwrap_or("");
     let fields: Vec<f64> = after.split(' ').map(|f| f.parse().unwrap_or(0.0)).collect();
+    // Fields 11 and 12 behind the command name: CPU time in user and kernel mode, in ticks.
     let ticks = fields.get(11).unwrap_or(&0.0) + fields.get(12).unwrap_or(&0.0);
     let status = std::fs::read_to_string(format!("/proc/{}/status", vm.pid())).unwrap_or_default();
     let rss = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
@@ -43,16 +48,18 @@
         Some((kind.to_owned(), rest.trim().parse().ok()?))
     };
     Usage {
-        kinds: metrics.lines().filter_map(kind).collect(),
+        frame_bytes: metrics.lines().filter_map(kind).collect(),
+        // Linux counts 100 ticks per second.
         cpu_ms: ticks * 10.0,
         rss_kb: rss.unwrap_or(0.0),
         datagrams: metric("datagrams"),
-        bytes: metric("datagram_bytes"),
+        datagram_bytes: metric("datagram_bytes"),
     }
 }
 
-/// Means over a group of processes during a span.
-fn spent(
+/// Mean usage per process and second of a group of processes since `before`, which was read
+/// `span` seconds ago; for memory, the current mean per process.
+fn mean_usage(
     fleet: &Fleet,
     group: &str,
     before: &BTreeMap<String, Usage>,
@@ -61,7 +68,7 @@
     let vms: Vec<&Vm> = fleet
         .vms
         .iter()
-        .filter(|v| member(fleet, v, group))
+        .filter(|v| is_in_group(fleet, v, group))
         .collect();
     let count = vms.len().max(1) as f64;
     let mut sum = Usage::default();
@@ -70,32 +77,35 @@
         sum.cpu_ms += new.cpu_ms - old.cpu_ms;
         sum.rss_kb += new.rss_kb;
         sum.datagrams += new.datagrams - old.datagrams;
-        sum.bytes += new.bytes - old.bytes;
-        for (kind, bytes) in new.kinds {
-            let grown = bytes - old.kinds.get(&kind).unwrap_or(&0.0);
-            *sum.kinds.entry(kind).or_default() += grown / count / span;
+        sum.datagram_bytes += new.datagram_bytes - old.datagram_bytes;
+        for (kind, bytes) in new.frame_bytes {
+            let grown = bytes - old.frame_bytes.get(&kind).unwrap_or(&0.0);
+            *sum.frame_bytes.entry(kind).or_default() += grown / count / span;
         }
     }
-    sum.kinds.retain(|_, bytes| *bytes >= 1.0);
-    sum.kinds
+    sum.frame_bytes.retain(|_, bytes| *bytes >= 1.0);
+    sum.frame_bytes
         .values_mut()
         .for_each(|bytes| *bytes = round(*bytes));
-    // An IP and a UDP head add 28 bytes to each datagram.
-    let bytes = (sum.bytes + 28.0 * sum.datagrams) / count / span;
+    // The IPv4 and UDP headers add 28 bytes to each datagram.
+    let bytes = (sum.datagram_bytes + 28.0 * sum.datagrams) / count / span;
     serde_json::json!({
         "cpu-percent": round(sum.cpu_ms / count / span / 10.0),
         "rss-mb": round(sum.rss_kb / count / 1024.0),
         "bytes-per-second": round(bytes),
         "datagrams-per-second": round(sum.datagrams / count / span),
-        "sent-by-kind": sum.kinds,
+        "sent-by-kind": sum.frame_bytes,
     })
 }
 
+/// Rounds to two decimals.
 fn round(value: f64) -> f64 {
     (value * 100.0).round() / 100.0
 }
 
-fn member(fleet: &Fleet, vm: &Vm, group: &str) -> bool {
+/// Whether a VM belongs to a group: control VMs, the VM that is the scheduler now, the other VM
+/// that may become it (`r1` or `r2`), or routers that never schedule.
+fn is_in_group(fleet: &Fleet, vm: &Vm, group: &str) -> bool {
     match group {
         "control" => vm.name.starts_with('c'),
         "scheduler" => vm.name == fleet.scheduler(),
@@ -104,7 +114,8 @@
     }
 }
 
-fn all(fleet: &Fleet) -> BTreeMap<String, Usage> {
+/// Usage of each process, by VM name.
+fn usage_by_vm(fleet: &Fleet) -> BTreeMap<String, Usage> {
     fleet
         .vms
         .iter()
@@ -112,6 +123,7 @@
         .collect()
 }
 
+/// A fleet with this number of routers, of which two may schedule.
 fn plan(routers: usize) -> Plan {
     Plan {
         routers,
@@ -125,50 +137,55 @@
     }
 }
 
+/// Prints the mean usage of each group of processes since `before`.
 fn report(point: &str, fleet: &Fleet, before: &BTreeMap<String, Usage>, began: Instant) {
     let span = began.elapsed().as_secs_f64();
     println!("{point}: {span:.2} seconds");
     for group in ["control", "scheduler", "candidate", "router"] {
-        println!("{point} {group}: {}", spent(fleet, group, before, span));
+        println!(
+            "{point} {group}: {}",
+            mean_usage(fleet, group, before, span)
+        );
     }
 }
 
-/// Cost of being there, by the number of routers.
+/// Usage of a fleet without requests, by the number of routers.
 fn idle() {
-    at_rest("idle", "");
+    measure_idle("idle", "");
 }
 
-/// The same with a sign of life each two seconds.
+/// The same with an idle timeout of 6 s for links, and thus a keep-alive only every 2 s.
 fn calm() {
-    at_rest("calm", "idle = 6s");
+    measure_idle("calm", "idle = 6s");
 }
 
-fn at_rest(name: &str, link_keys: &str) {
+/// Measures fleets without requests, with these keys added to `[link]`.
+fn measure_idle(name: &str, link_keys: &str) {
     for routers in [4, 12, 24] {
         let link_keys = link_keys.to_owned();
         let fleet = Fleet::start(Plan {
             link_keys,
             ..plan(routers)
         });
-        // Links for the first queries are closed after half a minute.
+        // Links that were opened for queries at the start are closed after 30 s.
         std::thread::sleep(Duration::from_secs(35));
-        let (before, began) = (all(&fleet), Instant::now());
-        std::thread::sleep(SPAN);
+        let (before, began) = (usage_by_vm(&fleet), Instant::now());
+        std::thread::sleep(POINT_DURATION);
         report(&format!("{name} routers={routers}"), &fleet, &before, began);
     }
 }
 
-/// Cost of requests, by their rate.
+/// Usage by the rate of requests, spread over all routers.
 fn requests() {
     let fleet = Fleet::start(plan(8));
     for rate in [40, 80, 160] {
-        let (before, began) = (all(&fleet), Instant::now());
+        let (before, began) = (usage_by_vm(&fleet), Instant::now());
         let routers: Vec<&Vm> = fleet.vms.iter().filter(|v| v.callers.is_some()).collect();
         let each = f64::from(rate) / routers.len() as f64;
         std::thread::scope(|scope| {
             for vm in &routers {
                 let target = vm.callers.map(|c| c.to_string()).unwrap_or_default();
-                let count = (each * SPAN.as_secs_f64()).round().to_string();
+                let count = (each * POINT_DURATION.as_secs_f64()).round().to_string();
                 let each = each.to_string();
                 scope.spawn(move || {
                     let args = [
@@ -194,16 +211,17 @@
     }
 }
 
-/// Time from accepted to in force everywhere, and the cost of changes.
+/// Time from the acceptance of a change until it is in force on all VMs, and usage during
+/// changes, by the number of routers.
 fn changes() {
     for routers in [4, 12, 24] {
         let fleet = Fleet::start(plan(routers));
         let text = fleet.configuration();
         let mut version = config_version(&fleet.vms[0]);
         let mut times = Vec::new();
-        // Links are opened at first; that is no cost of changes.
+        // Links are still being opened at first, which must not count as a cost of changes.
         std::thread::sleep(Duration::from_secs(3));
-        let (before, began) = (all(&fleet), Instant::now());
+        let (before, began) = (usage_by_vm(&fleet), Instant::now());
         for n in 0..20 {
             let text = text.replace("not today", &format!("not today {n}"));
             let path = format!("/config?id=c{n:x}&base={version}");
@@ -221,10 +239,10 @@
             times.push(accepted.elapsed().as_secs_f64() * 1000.0);
         }
         times.sort_by(f64::total_cmp);
-        let (middle, most) = (times[times.len() / 2], times[times.len() - 1]);
+        let (median, max) = (times[times.len() / 2], times[times.len() - 1]);
         println!(
-            "changes routers={routers} ms to in force, looking at one VM after the other: \
-             median {middle:.1} most {most:.1}"
+            "changes routers={routers} ms until in force, polling one VM after the other: \
+             median {median:.1} max {max:.1}"
         );
         report(
             &format!("changes routers={routers}"),
@@ -235,7 +253,7 @@
     }
 }
 
-/// Memory, by the size of the configuration.
+/// Usage, above all memory, by the size of the configuration.
 fn sizes() {
     for customers in [16, 90, 270] {
         let fleet = Fleet::start(plan(3));
@@ -256,7 +274,7 @@
         assert!(applied.0.success(), "{}", applied.2);
         fleet.wait_version(fleet.version());
         std::thread::sleep(Duration::from_secs(2));
-        let (before, began) = (all(&fleet), Instant::now());
+        let (before, began) = (usage_by_vm(&fleet), Instant::now());
         std::thread::sleep(Duration::from_secs(3));
         report(
             &format!("sizes customers={customers}"),
@@ -267,13 +285,13 @@
     }
 }
 
-/// Version that changes are based on.
+/// Version of the configuration in force, on which the next change must be based.
 fn config_version(vm: &Vm) -> u64 {
     let config = http::get(vm.operators, "/config", OPERATOR);
     config.header("cowslipford-version").parse().unwrap_or(0)
 }
 
-/// Value of a control VM's metric.
+/// Value of a `cowslipford_control` metric of a control VM.
 fn control_metric(fleet: &Fleet, vm: &str, what: &str) -> f64 {
     let metrics = http::get(fleet.vm(vm).operators, "/metrics", "").text();
     let name = format!("cowslipford_control{{what=\"{what}\"}} ");
@@ -281,7 +299,8 @@
     line.and_then(|l| l.trim().parse().ok()).unwrap_or(0.0)
 }
 
-/// The replicated log: changes, claims, and time without a leader.
+/// The replicated log: throughput and storage cost of changes and of idempotency claims, and
+/// the time without a leader after the leader is killed.
 fn control() {
     let mut fleet = Fleet::start(Plan {
         plains: 1,
@@ -311,7 +330,7 @@
     let seconds = began.elapsed().as_secs_f64();
     let after = read(&fleet);
     println!(
-        "control changes: {:.0} a second one after the other, {:.2} syncs and {:.0} bytes each",
+        "control changes: {:.0} per second in sequence, {:.2} syncs and {:.0} bytes each",
         200.0 / seconds,
         (after.0 - before.0) / 200.0,
         (after.1 - before.1) / 200.0
@@ -337,7 +356,7 @@
         let done: serde_json::Value = serde_json::from_str(&done.1).unwrap_or_default();
         let after = read(&fleet);
         println!(
-            "control claims, {callers} callers: {} requests a second, p50 {} us, {:.2} syncs, \
+            "control claims, {callers} callers: {} requests per second, p50 {} us, {:.2} syncs, \
              {:.0} bytes and {:.2} records each, statuses {}",
             done["per-second"],
             done["whole-us"]["p50"],
@@ -367,7 +386,7 @@
     println!("control leader killed: ms to the next accepted change {times:?}");
 }
 
-/// Cost of one event of the time line.
+/// Time to record one event in the journal.
 fn events() {
     let journal = node::Journal::new(transport::clock::Clock::default(), 4096);
     let count = 1_000_000;
@@ -384,8 +403,8 @@
 }
 
 fn main() {
-    let only = std::env::args().find(|a| !a.starts_with('-') && !a.contains('/'));
-    let wants = |name: &str| only.as_deref().is_none_or(|o| o == name);
+    let selected = std::env::args().find(|a| !a.starts_with('-') && !a.contains('/'));
+    let is_selected = |name: &str| selected.as_deref().is_none_or(|s| s == name);
     for (name, measure) in [
         ("events", events as fn()),
         ("idle", idle),
@@ -395,7 +414,7 @@
         ("sizes", sizes),
         ("control", control),
     ] {
-        if wants(name) {
+        if is_selected(name) {
             measure();
         }
     }
--- a/benches/path.rs
+++ b/benches/path.rs
@@ -1,4 +1,5 @@
-//! Added latency, throughput and memory of one router, beside direct calls.
+//! Latency, throughput and memory of one router, compared with direct calls to an
+//! endpoint.
 //!
 //! `cargo bench --bench path` prints the figures of docs/BENCH.md.
 
@@ -8,6 +9,7 @@
 use harness::{run, Fleet, Plan};
 use std::time::Duration;
 
+/// Runs `cowslipford load` with more arguments and returns its result.
 fn load(target: &str, more: &[&str]) -> serde_json::Value {
     let mut args = vec!["load", "--target", target];
     args.extend_from_slice(more);
@@ -15,6 +17,7 @@
     serde_json::from_str(&done.1).unwrap_or_default()
 }
 
+/// Resident memory of a process, in kB.
 fn rss_kb(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
@@ -32,12 +35,13 @@
     });
     let router = fleet.callers("r1").to_string();
     let find = |name: &str| fleet.stand_ins.iter().find(|s| s.name == name);
-    let direct = find("booking-1")
+    let endpoint = find("booking-1")
         .map(|s| s.address.to_string())
         .unwrap_or_default();
     let idle = rss_kb(fleet.vm("r1").pid());
-    // One caller, an answer without delay: what remains is the way.
-    let one = [
+    // With one caller and an endpoint that answers without delay, the difference to direct
+    // calls is the latency that the router adds.
+    let single_caller = [
         "--callers",
         "1",
         "--requests",
@@ -48,17 +52,17 @@
         "0",
     ];
     for round in 1..=3 {
-        let through = load(&router, &one);
-        let beside = load(&direct, &one);
+        let routed = load(&router, &single_caller);
+        let direct = load(&endpoint, &single_caller);
         println!(
-            "latency round {round}: direct p50 {} us p99 {}, through p50 {} us p99 {}",
-            beside["whole-us"]["p50"],
-            beside["whole-us"]["p99"],
-            through["whole-us"]["p50"],
-            through["whole-us"]["p99"]
+            "latency round {round}: direct p50 {} us p99 {}, through router p50 {} us p99 {}",
+            direct["whole-us"]["p50"],
+            direct["whole-us"]["p99"],
+            routed["whole-us"]["p50"],
+            routed["whole-us"]["p99"]
         );
     }
-    let many = [
+    let many_callers = [
         "--callers",
         "32",
         "--requests",
@@ -68,11 +72,11 @@
         "--pace",
         "0",
     ];
-    let through = load(&router, &many);
-    let beside = load(&direct, &many);
+    let routed = load(&router, &many_callers);
+    let direct = load(&endpoint, &many_callers);
     println!(
         "throughput: direct {}/s, through one router {}/s, statuses {}",
-        beside["per-second"], through["per-second"], through["statuses"]
+        direct["per-second"], routed["per-second"], routed["statuses"]
     );
     let streams = std::thread::spawn({
         let router = router.clone();
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -194,7 +194,7 @@
             completes those in progress and exits. Requests in progress are not interrupted."
 )]
 pub(crate) struct Stop {
-    /// kind of what stops: vm or endpoint
+    /// type of what stops: vm or endpoint
     #[argh(positional)]
     pub(crate) kind: String,
     /// name of the VM or endpoint
@@ -218,7 +218,7 @@
     name = "evacuate",
     example = "{command_name} dk-1",
     example = "{command_name} dk-1 --end",
-    note = "Requests in progress there are completed. Repeating the command has no further \
+    note = "Requests in progress there continue. Repeating the command has no further \
             effect. The exit code is 2 if the fleet does not know the data centre.",
     error_code(2, "no data centre has that name; nothing was changed")
 )]
--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -25,7 +25,7 @@
     whole_us: Histogram<u64>,
     /// Responses by HTTP status.
     statuses: BTreeMap<u16, u64>,
-    /// Requests without a complete response.
+    /// Failed requests: no connection, a read error, or a response that is not HTTP.
     errors: u64,
 }
 
--- a/src/cmd/timeline.rs
+++ b/src/cmd/timeline.rs
@@ -69,6 +69,7 @@
 impl Names {
     /// Reads the names from the process that the command line names.
     fn read(client: &Client<'_>, args: &Timeline) -> Result<Self, Failure> {
+        /// Body of a response to `/names`.
         #[derive(serde::Deserialize)]
         struct Numbers {
             customers: BTreeMap<Name, CustomerId>,
