--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -1,7 +1,7 @@
-//! A TCP proxy on the loopback that disturbs the connections it carries.
+//! A TCP proxy on the loopback interface that injects faults into its connections.
 //!
-//! It never does what TCP cannot do: bytes are late or missing up to a reset, but
-//! no connection goes on behind bytes that were lost.
+//! It stays within the semantics of TCP: bytes may be delayed, or lost before a reset,
+//! but no connection continues after lost bytes.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -11,34 +11,34 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Bytes that are carried at once.
-const CHUNK: usize = 4096;
+/// Size of the buffer of one direction.
+const CHUNK_BYTES: usize = 4096;
 
-/// What happens to connections.
+/// Fault that the proxy injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Mode {
-    /// Nothing.
+    /// No fault.
     Pass,
-    /// Each piece is late by this much, in both directions.
+    /// Each chunk is delayed by this time, in both directions.
     Delay(Duration),
-    /// Nothing gets through until the mode changes; then all of it does.
+    /// Nothing is forwarded until the mode changes; then everything is.
     Silence,
-    /// What callers send is lost; connections that lost something are reset later.
+    /// Bytes from callers are lost; connections that lost bytes are reset when the mode changes.
     CutUp,
-    /// What the other side sends is lost, likewise.
+    /// Bytes from the target are lost, in the same way.
     CutDown,
-    /// Connections are reset, new ones as well.
+    /// All connections are reset, also new ones.
     Reset,
 }
 
-/// A running proxy. Its tasks end with their runtime.
+/// A running proxy, which ends with its runtime.
 pub(crate) struct Proxy {
     pub(crate) address: SocketAddr,
     mode: watch::Sender<Mode>,
 }
 
 impl Proxy {
-    /// Starts a proxy to a target, on the runtime that was entered.
+    /// Starts a proxy to a target on the current runtime.
     pub(crate) fn start(target: SocketAddr) -> Self {
         let listener = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
         listener.set_nonblocking(true).unwrap();
@@ -49,26 +49,28 @@
         Proxy { address, mode }
     }
 
-    /// Changes what happens from now on.
+    /// Sets the fault for present and new connections.
     pub(crate) fn set(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
 }
 
+/// Accepts connections and forwards each in a task of its own.
 async fn accept(listener: TcpListener, target: SocketAddr, mode: watch::Receiver<Mode>) {
-    let mut carried = JoinSet::new();
+    let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => {
                 let (stream, _) = accepted.unwrap();
-                carried.spawn(carry(stream, target, mode.clone()));
+                connections.spawn(forward(stream, target, mode.clone()));
             }
-            Some(ended) = carried.join_next() => ended.unwrap(),
+            Some(ended) = connections.join_next() => ended.unwrap(),
         }
     }
 }
 
-async fn carry(mut near: TcpStream, target: SocketAddr, mode: watch::Receiver<Mode>) {
+/// Forwards both directions of a connection; resets it on an error.
+async fn forward(mut near: TcpStream, target: SocketAddr, mode: watch::Receiver<Mode>) {
     let Ok(mut far) = TcpStream::connect(target).await else {
         near.set_zero_linger().unwrap();
         return;
@@ -78,14 +80,14 @@
     let up = pump(near_read, far_write, Mode::CutUp, mode.clone());
     let down = pump(far_read, near_write, Mode::CutDown, mode);
     if tokio::try_join!(up, down).is_err() {
-        // Closed properly, a cut answer without a length would look whole.
+        // After a normal close, a truncated answer without a length would look complete.
         near.set_zero_linger().unwrap();
         far.set_zero_linger().unwrap();
     }
 }
 
-/// Carries one direction, which one mode cuts, to its end; an error resets the
-/// connection.
+/// Forwards one direction until its end; `cut` is the mode that loses bytes of this
+/// direction. An error resets the connection.
 async fn pump<R, W>(
     mut from: R,
     mut to: W,
@@ -96,7 +98,7 @@
     R: AsyncRead + Unpin,
     W: AsyncWrite + Unpin,
 {
-    let mut buffer = [0; CHUNK];
+    let mut buffer = [0; CHUNK_BYTES];
     let mut has_lost = false;
     loop {
         let now = *mode.borrow_and_update();
@@ -110,10 +112,10 @@
                 continue;
             }
         };
-        if !passes(&mut mode, cut).await? {
+        if !is_forwarded(&mut mode, cut).await? {
             has_lost = true;
             if count == 0 {
-                // The end of the connection is lost as well.
+                // The close of the connection is lost as well.
                 mode.changed().await.map_err(io::Error::other)?;
             }
             continue;
@@ -128,8 +130,8 @@
     }
 }
 
-/// Waits as the mode says; gives whether a piece gets through.
-async fn passes(mode: &mut watch::Receiver<Mode>, cut: Mode) -> io::Result<bool> {
+/// Waits according to the mode; returns whether a chunk is forwarded.
+async fn is_forwarded(mode: &mut watch::Receiver<Mode>, cut: Mode) -> io::Result<bool> {
     loop {
         let now = *mode.borrow_and_update();
         match now {
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -1,14 +1,16 @@
-//! One run: a fleet of real processes, its callers, and the faults of one seed.
+//! A soak run: a fleet of real processes, its callers, and the faults of one seed.
 
-use super::callers::{self, Route, World, PATIENCE, PROBE, QUERY_OF_DEATH, REVOCATION};
-use super::check::{End, Kind, Ledger};
+use super::callers::{
+    self, Route, Shared, PROBE_TIMEOUT, QUERY_OF_DEATH, RECOVERY_TIMEOUT, REVOCATION,
+};
+use super::check::{End, Kind, Observations};
 use super::harness::http::{request, Client};
-use super::harness::{Fleet, Plan, Process, Vm, OPERATOR};
-use super::operator::{InForce, Operator, Order};
+use super::harness::{Fleet, Plan, Process, Vm, OPERATOR_KEY};
+use super::operator::{Command, InForce, Operator};
 use super::proxy::{Mode, Proxy};
 use super::schedule::{
-    schedule, Act, Step, Target, CONTROL, EVACUATED, EVACUATED_CENTRE, PROXIED, ROUTERS, STAND_INS,
-    VMS,
+    schedule, Act, Step, Target, CONTROL_COUNT, EVACUATED, EVACUATED_DATA_CENTRE, PROXIED,
+    ROUTER_COUNT, STAND_IN_COUNT, VM_COUNT,
 };
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpStream};
@@ -20,47 +22,48 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::task::{JoinHandle, JoinSet};
 
-/// Time between two looks at something that must come true.
-const LOOK: Duration = Duration::from_millis(50);
-/// Path that joins all links of a VM.
-const JOIN: &str = "/fault/cut";
+/// Interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Path of the fault injection that restores all links of a VM.
+const JOIN_PATH: &str = "/fault/cut";
 
-/// What came of a run.
+/// Result of a run.
 pub(crate) struct Report {
-    /// Faults by kind, answers by their end, and what else was counted.
+    /// Numbers of faults by kind, answers by result, and other events.
     pub(crate) counts: BTreeMap<&'static str, u64>,
-    /// Promises that were broken.
-    pub(crate) wrong: Vec<String>,
-    /// Where the logs are kept, if any was.
+    /// Violated guarantees.
+    pub(crate) violations: Vec<String>,
+    /// Folder of the logs, which is kept if a guarantee was violated.
     pub(crate) folder: PathBuf,
 }
 
+/// A run in progress.
 struct Run {
     fleet: Fleet,
     runtime: Runtime,
-    world: Arc<World>,
+    shared: Arc<Shared>,
     proxies: Vec<Proxy>,
     operator: JoinHandle<InForce>,
-    orders: UnboundedSender<Order>,
+    commands: UnboundedSender<Command>,
     callers: JoinSet<()>,
-    /// VMs that were sent SIGTERM in their present life.
-    terminated: [bool; VMS],
-    /// VMs that start again as soon as they have ended.
-    returning: [bool; VMS],
+    /// VMs whose present process was sent SIGTERM.
+    terminated: [bool; VM_COUNT],
+    /// VMs that are restarted as soon as their process has exited.
+    restart_pending: [bool; VM_COUNT],
 }
 
-/// Runs a seed's schedule and gives what came of it.
+/// Runs the schedule of a seed, ends all faults and checks the guarantees.
 pub(crate) fn run(seed: u64, length: Duration) -> Report {
     let mut run = Run::start(seed);
     let began = Instant::now();
     for step in schedule(seed, length) {
         run.wait(step, began);
         if let Some(kind) = step.kind {
-            run.world.ledger.count(kind);
+            run.shared.observations.count(kind);
         }
         run.act(step.act);
     }
-    run.world.calm.store(true, Ordering::Relaxed);
+    run.shared.stop_crashes.store(true, Ordering::Relaxed);
     run.heal();
     run.check_quarantine();
     run.check_evacuation();
@@ -71,10 +74,10 @@
 impl Run {
     fn start(seed: u64) -> Self {
         let fleet = Fleet::start(Plan {
-            control: CONTROL,
-            routers: ROUTERS,
+            control: CONTROL_COUNT,
+            routers: ROUTER_COUNT,
             models: 2,
-            plains: 2,
+            plain_services: 2,
             settings: format!("[router]\nrevocation = {}s", REVOCATION.as_secs()),
             ..Plan::default()
         });
@@ -88,50 +91,50 @@
         let targets: Vec<_> = routers.chain(endpoints).collect();
         let inside = runtime.enter();
         let proxies: Vec<Proxy> = targets.iter().map(|t| Proxy::start(*t)).collect();
-        let routes = targets.iter().zip(&proxies).take(ROUTERS);
+        let routes = targets.iter().zip(&proxies).take(ROUTER_COUNT);
         let routes = routes.map(|(direct, proxy)| Route {
             direct: *direct,
             proxied: proxy.address,
         });
-        let world = Arc::new(World {
+        let shared = Arc::new(Shared {
             seed,
             routes: routes.collect(),
-            ledger: Ledger::default(),
+            observations: Observations::default(),
             stop: AtomicBool::new(false),
-            calm: AtomicBool::new(false),
+            stop_crashes: AtomicBool::new(false),
             names: AtomicU32::new(0),
         });
         let mut operator = Operator {
-            world: world.clone(),
+            shared: shared.clone(),
             vms: fleet.vms.iter().map(|v| v.operators).collect(),
             text: text(&fleet, &proxies),
             in_force: InForce {
-                guest: "guest-0".to_owned(),
+                revocable_key: "guest-0".to_owned(),
                 ..InForce::default()
             },
             sent: 0,
         };
-        let (orders, received) = tokio::sync::mpsc::unbounded_channel();
+        let (commands, received) = tokio::sync::mpsc::unbounded_channel();
         runtime.block_on(operator.change());
         fleet.wait_version(operator.in_force.version);
         let operator = runtime.spawn(operator.run(received));
         let mut callers = JoinSet::new();
-        callers::start(&world, &mut callers);
+        callers::start(&shared, &mut callers);
         drop(inside);
         Run {
             fleet,
             runtime,
-            world,
+            shared,
             proxies,
             operator,
-            orders,
+            commands,
             callers,
-            terminated: [false; VMS],
-            returning: [false; VMS],
+            terminated: [false; VM_COUNT],
+            restart_pending: [false; VM_COUNT],
         }
     }
 
-    /// Waits for a step's moment.
+    /// Waits until a step is due.
     fn wait(&mut self, step: Step, began: Instant) {
         loop {
             self.reap();
@@ -139,42 +142,44 @@
             if left.is_zero() {
                 return;
             }
-            std::thread::sleep(left.min(LOOK));
+            std::thread::sleep(left.min(POLL_INTERVAL));
         }
     }
 
-    /// Notes processes that have ended: with 0 after SIGTERM, or else wrongly.
+    /// Handles processes that have exited: restarts crashed stand-ins, and reports a violation
+    /// unless a VM exited with status 0 after SIGTERM.
     fn reap(&mut self) {
         for stand_in in &mut self.fleet.stand_ins {
-            // However it ended: the record is what counts.
+            // Any exit status is permitted: only the records of stand-ins are checked.
             let ended = stand_in.process.ended();
             if ended.is_some_and(|status| status.code() == Some(standin::CRASHED)) {
-                self.world.ledger.count("engine crashed");
+                self.shared.observations.count("engine crashed");
                 stand_in.process.start();
             }
         }
-        for (place, vm) in self.fleet.vms.iter_mut().enumerate() {
+        for (index, vm) in self.fleet.vms.iter_mut().enumerate() {
             let Some(status) = vm.process.ended() else {
                 continue;
             };
-            let asked = std::mem::replace(&mut self.terminated[place], false);
+            let asked = std::mem::replace(&mut self.terminated[index], false);
             if !asked || !status.success() {
-                let text = format!("{} ended with {status}, asked to: {asked}", vm.name);
-                self.world.ledger.wrong(text);
+                let text = format!("{} exited with {status}, SIGTERM sent: {asked}", vm.name);
+                self.shared.observations.report_violation(text);
             }
-            if std::mem::replace(&mut self.returning[place], false) {
+            if std::mem::replace(&mut self.restart_pending[index], false) {
                 vm.start();
             }
         }
     }
 
+    /// Carries out an act of the schedule.
     fn act(&mut self, act: Act) {
-        let depart = |what: &str, place: usize| {
-            let name = &self.fleet.stand_ins[place].name;
-            self.order(Order::Depart(format!("/stop?{what}={name}")));
+        let depart = |what: &str, index: usize| {
+            let name = &self.fleet.stand_ins[index].name;
+            self.command(Command::EndpointPath(format!("/stop?{what}={name}")));
         };
         match act {
-            Act::Line(place, mode) => self.proxies[place].set(mode),
+            Act::SetProxy(index, mode) => self.proxies[index].set(mode),
             Act::Pause(target) => self.signal(target, "-STOP"),
             Act::Resume(target) => self.signal(target, "-CONT"),
             Act::Kill(target) => self.kill(target),
@@ -182,62 +187,62 @@
             Act::Start(target) => self.start_again(target),
             Act::Cut(vm, peer) => self.cut(vm, &self.fleet.vms[peer..=peer]),
             Act::Isolate(vm) => self.cut(vm, &self.fleet.vms),
-            Act::Join(vm) => self.hook(vm, JOIN),
-            Act::Suspend(vm, ms) => self.hook(vm, &format!("/fault/suspend?ms={ms}")),
-            Act::Wipe(place) => {
-                self.kill(Target::Vm(place));
-                self.fleet.vms[place].wipe();
+            Act::Join(vm) => self.inject(vm, JOIN_PATH),
+            Act::Suspend(vm, ms) => self.inject(vm, &format!("/fault/suspend?ms={ms}")),
+            Act::Wipe(index) => {
+                self.kill(Target::Vm(index));
+                self.fleet.vms[index].wipe();
             }
-            Act::Change => self.order(Order::Change),
-            Act::Revoke => self.order(Order::Revoke),
+            Act::Change => self.command(Command::Change),
+            Act::Revoke => self.command(Command::Revoke),
             Act::Evacuate => self.evacuate("POST"),
-            Act::UseAgain => self.evacuate("DELETE"),
-            Act::Withdraw(place) => depart("endpoint", place),
-            Act::Return(place) => depart("endpoint-back", place),
-            Act::Flood(place) => {
-                let flood = callers::flood(self.world.clone(), place);
+            Act::EndEvacuation => self.evacuate("DELETE"),
+            Act::Withdraw(index) => depart("endpoint", index),
+            Act::Return(index) => depart("endpoint-back", index),
+            Act::Flood(index) => {
+                let flood = callers::flood(self.shared.clone(), index);
                 self.callers.spawn_on(flood, self.runtime.handle());
             }
         }
     }
 
     fn evacuate(&self, method: &'static str) {
-        let path = format!("/evacuation?data-centre={EVACUATED_CENTRE}");
-        self.order(Order::Evacuate(method, path));
+        let path = format!("/evacuation?data-centre={EVACUATED_DATA_CENTRE}");
+        self.command(Command::Evacuate(method, path));
     }
 
     fn cut(&self, vm: usize, peers: &[Vm]) {
         let names: Vec<&str> = peers.iter().map(|p| p.name.as_str()).collect();
-        self.hook(vm, &format!("/fault/cut?peers={}", names.join(",")));
+        self.inject(vm, &format!("/fault/cut?peers={}", names.join(",")));
     }
 
-    /// Asks a VM to disturb itself. One that is down or paused may not hear of it.
-    fn hook(&self, vm: usize, path: &str) {
-        let asked = hooked(self.fleet.vms[vm].operators, path.to_owned());
+    /// Sends a fault injection to a VM; a VM that is down or paused may not receive it.
+    fn inject(&self, vm: usize, path: &str) {
+        let asked = inject_fault(self.fleet.vms[vm].operators, path.to_owned());
         self.runtime.spawn(asked);
     }
 
-    /// Joins all links again.
+    /// Restores all links of all VMs.
     fn join_links(&mut self) {
-        self.must("a VM hears that its links are joined", |run| {
+        self.wait_for("all VMs have restored their links", |run| {
             let all = run.fleet.vms.iter().map(|v| v.operators);
-            let asked = all.map(|vm| run.runtime.block_on(hooked(vm, JOIN.to_owned())));
+            let asked = all.map(|vm| run.runtime.block_on(inject_fault(vm, JOIN_PATH.to_owned())));
             asked.filter(|joined| !joined).count() == 0
         });
     }
 
-    fn order(&self, order: Order) {
-        self.orders.send(order).unwrap();
+    fn command(&self, command: Command) {
+        self.commands.send(command).unwrap();
     }
 
     fn process(&mut self, target: Target) -> &mut Process {
         match target {
-            Target::Vm(place) => &mut self.fleet.vms[place].process,
-            Target::StandIn(place) => &mut self.fleet.stand_ins[place].process,
+            Target::Vm(index) => &mut self.fleet.vms[index].process,
+            Target::StandIn(index) => &mut self.fleet.stand_ins[index].process,
         }
     }
 
-    /// Sends a signal; to a process that is down it does nothing.
+    /// Sends a signal unless the process is down.
     fn signal(&mut self, target: Target, signal: &str) {
         let process = self.process(target);
         if process.is_live() {
@@ -247,22 +252,22 @@
 
     fn kill(&mut self, target: Target) {
         self.process(target).kill();
-        if let Target::Vm(place) = target {
-            self.terminated[place] = false;
+        if let Target::Vm(index) = target {
+            self.terminated[index] = false;
         }
     }
 
     fn terminate(&mut self, target: Target) {
         self.signal(target, "-TERM");
-        if let Target::Vm(place) = target {
-            self.terminated[place] |= self.fleet.vms[place].is_live();
+        if let Target::Vm(index) = target {
+            self.terminated[index] |= self.fleet.vms[index].is_live();
         }
     }
 
-    /// Starts a process that is down, or lets one that is ending return.
+    /// Starts a process that is down; one that is stopping is restarted after its exit.
     fn start_again(&mut self, target: Target) {
-        if let Target::Vm(place) = target {
-            self.returning[place] = self.terminated[place];
+        if let Target::Vm(index) = target {
+            self.restart_pending[index] = self.terminated[index];
         }
         let process = self.process(target);
         if !process.is_live() {
@@ -275,122 +280,131 @@
         for proxy in &self.proxies {
             proxy.set(Mode::Pass);
         }
-        for place in 0..STAND_INS {
-            self.signal(Target::StandIn(place), "-CONT");
-            // It may just be ending.
-            self.kill(Target::StandIn(place));
-            self.start_again(Target::StandIn(place));
-            self.act(Act::Return(place));
+        for index in 0..STAND_IN_COUNT {
+            self.signal(Target::StandIn(index), "-CONT");
+            // The stand-in may be about to exit after SIGTERM.
+            self.kill(Target::StandIn(index));
+            self.start_again(Target::StandIn(index));
+            self.act(Act::Return(index));
         }
-        self.act(Act::UseAgain);
-        for place in 0..VMS {
-            self.signal(Target::Vm(place), "-CONT");
+        self.act(Act::EndEvacuation);
+        for index in 0..VM_COUNT {
+            self.signal(Target::Vm(index), "-CONT");
         }
-        self.must("a planned stop ends", |run| {
+        self.wait_for("VMs that were sent SIGTERM have exited", |run| {
             run.reap();
             !run.terminated.contains(&true)
         });
-        for place in 0..VMS {
-            self.start_again(Target::Vm(place));
+        for index in 0..VM_COUNT {
+            self.start_again(Target::Vm(index));
         }
         self.join_links();
-        self.must("all VMs are ready again", |run| {
+        self.wait_for("all VMs are ready", |run| {
             run.reap();
             run.fleet.vms.iter().all(|vm| vm.is_ready())
         });
-        // A VM that was paused may have read an order to cut only after the first time.
+        // A VM that was paused may have read a request to cut links after the first restore.
         self.join_links();
     }
 
-    /// Waits until something holds; notes it as wrong if it never does.
-    fn must<F>(&mut self, what: &str, mut holds: F)
+    /// Polls a condition until it is true; reports a violation after `RECOVERY_TIMEOUT`.
+    fn wait_for<F>(&mut self, what: &str, mut holds: F)
     where
         F: FnMut(&mut Self) -> bool,
     {
         let began = Instant::now();
         while !holds(self) {
-            if began.elapsed() > PATIENCE {
-                self.world.ledger.wrong(format!("never came true: {what}"));
+            if began.elapsed() > RECOVERY_TIMEOUT {
+                self.shared
+                    .observations
+                    .report_violation(format!("timed out waiting for: {what}"));
                 return;
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Checks that no router sends a query of death on, once they are all told.
+    /// Checks that routers forward no query of death once all of them refuse it.
     fn check_quarantine(&mut self) {
-        for place in 0..ROUTERS {
-            let what = format!("router {place} refuses the query of death");
-            self.must(&what, |run| {
+        for index in 0..ROUTER_COUNT {
+            let what = format!("router {index} refuses the query of death");
+            self.wait_for(&what, |run| {
                 run.reap();
-                run.send_query_of_death(place)
+                run.send_query_of_death(index)
             });
         }
         let before = self.queries_of_death();
-        for n in 0..4 * ROUTERS {
-            self.send_query_of_death(n % ROUTERS);
+        for n in 0..4 * ROUTER_COUNT {
+            self.send_query_of_death(n % ROUTER_COUNT);
         }
         let later = self.queries_of_death() - before;
         if later > 0 {
-            let text = format!("the query of death reached engines {later} times more");
-            self.world.ledger.wrong(text);
+            let text = format!("the query of death reached engines {later} more times");
+            self.shared.observations.report_violation(text);
         }
-        self.must("engines that were crashed are back", |run| {
+        self.wait_for("crashed engines accept connections", |run| {
             run.reap();
             (run.fleet.stand_ins.iter()).all(|s| TcpStream::connect(s.address).is_ok())
         });
     }
 
-    /// Sends it by a router; gives whether that refuses it as quarantined.
-    fn send_query_of_death(&self, place: usize) -> bool {
-        let address = self.world.routes[place].direct;
-        let sent = callers::query_of_death(&self.world, address);
+    /// Sends the query of death through a router; returns whether it was refused as quarantined.
+    fn send_query_of_death(&self, index: usize) -> bool {
+        let address = self.shared.routes[index].direct;
+        let sent = callers::query_of_death(&self.shared, address);
         self.runtime.block_on(sent)
     }
 
-    /// How often the query of death has reached engines.
+    /// Number of times that the query of death has reached engines.
     fn queries_of_death(&self) -> usize {
-        let all = self.fleet.stand_ins.iter().flat_map(|s| s.recorded());
+        let all = self
+            .fleet
+            .stand_ins
+            .iter()
+            .flat_map(|s| s.recorded_labels());
         all.filter(|label| label.starts_with(QUERY_OF_DEATH))
             .count()
     }
 
-    /// Checks that an evacuated data centre gets no requests, while others serve them.
+    /// Checks that an evacuated data centre gets no requests while others serve them.
     fn check_evacuation(&mut self) {
         self.act(Act::Evacuate);
-        for place in 0..ROUTERS {
-            let what = format!("router {place} has evacuated {EVACUATED_CENTRE}");
-            self.must(&what, |run| {
-                let status = run.fleet.vms[CONTROL + place].status().unwrap_or_default();
-                status["evacuated"][0] == EVACUATED_CENTRE
+        for index in 0..ROUTER_COUNT {
+            let what = format!("router {index} has evacuated {EVACUATED_DATA_CENTRE}");
+            self.wait_for(&what, |run| {
+                let status = run.fleet.vms[CONTROL_COUNT + index]
+                    .status()
+                    .unwrap_or_default();
+                status["evacuated"][0] == EVACUATED_DATA_CENTRE
             });
         }
-        // What was sent there before may still arrive.
-        std::thread::sleep(LOOK);
+        // Requests sent before the evacuation may still arrive.
+        std::thread::sleep(POLL_INTERVAL);
         let before = self.evacuated_calls();
         self.check_served();
         let later = self.evacuated_calls() - before;
         if later > 0 {
-            let text = format!("{EVACUATED_CENTRE} got {later} requests after its evacuation");
-            self.world.ledger.wrong(text);
+            let text = format!("{EVACUATED_DATA_CENTRE} got {later} requests after its evacuation");
+            self.shared.observations.report_violation(text);
         }
-        self.act(Act::UseAgain);
+        self.act(Act::EndEvacuation);
     }
 
-    /// Calls that have reached the stand-ins of the data centre that is evacuated.
+    /// Number of calls that have reached the stand-ins of the evacuated data centre.
     fn evacuated_calls(&self) -> usize {
         let all = EVACUATED.iter().map(|n| &self.fleet.stand_ins[*n]);
-        all.map(|s| s.recorded().len()).sum()
+        all.map(|s| s.recorded_labels().len()).sum()
     }
 
-    /// Checks that everything is served again, over each way to each router.
+    /// Checks that requests of each customer and kind are served by each router, directly and
+    /// through its proxy.
     fn check_served(&self) {
         let began = Instant::now();
-        for route in &self.world.routes {
+        for route in &self.shared.routes {
             for address in [route.direct, route.proxied] {
                 for customer in ["alpha", "beta", "gamma"] {
                     for kind in [Kind::Stream(3), Kind::Booking] {
-                        let sent = served(&self.world, address, customer, kind, began);
+                        let sent = served(&self.shared, address, customer, kind, began);
                         self.runtime.block_on(sent);
                     }
                 }
@@ -398,58 +412,59 @@
         }
     }
 
-    /// Ends callers and operator, and checks what is left.
+    /// Stops callers and operator, and runs the final checks.
     fn finish(mut self) -> Report {
-        self.world.stop.store(true, Ordering::Relaxed);
+        self.shared.stop.store(true, Ordering::Relaxed);
         while let Some(ended) = self.runtime.block_on(self.callers.join_next()) {
             ended.unwrap();
         }
-        // The operator ends when nobody can give it orders.
-        let (nobody, _) = tokio::sync::mpsc::unbounded_channel();
-        self.orders = nobody;
+        // The operator ends when its channel is closed.
+        let (closed, _) = tokio::sync::mpsc::unbounded_channel();
+        self.commands = closed;
         let in_force = self.runtime.block_on(&mut self.operator).unwrap();
         self.check_in_force(&in_force);
         self.check_idle();
         self.check_logs();
         self.reap();
         let records: Vec<String> = (self.fleet.stand_ins.iter())
-            .flat_map(|s| s.recorded())
+            .flat_map(|s| s.recorded_labels())
             .collect();
-        let (counts, wrong) = self.world.ledger.close(&records);
-        if !wrong.is_empty() {
+        let (counts, violations) = self.shared.observations.close(&records);
+        if !violations.is_empty() {
             self.fleet.folder.disable_cleanup(true);
         }
         Report {
             counts,
-            wrong,
+            violations,
             folder: self.fleet.folder.path().to_owned(),
         }
     }
 
     /// Checks that the last accepted configuration is in force on every router.
     fn check_in_force(&mut self, in_force: &InForce) {
-        for place in 0..ROUTERS {
-            let what = format!("router {place} has {in_force:?}");
-            self.must(&what, |run| {
-                let direct = run.world.routes[place].direct;
+        for index in 0..ROUTER_COUNT {
+            let what = format!("router {index} has {in_force:?}");
+            self.wait_for(&what, |run| {
+                let direct = run.shared.routes[index].direct;
                 let ask = |path: &str, key: &str| {
                     let http = request("POST", path, key, &[], "");
                     let mut client = Client::new(direct);
-                    run.runtime.block_on(client.call(http, PATIENCE))
+                    run.runtime.block_on(client.call(http, RECOVERY_TIMEOUT))
                 };
                 let marker = callers::marker(&ask("/forbidden", "alpha"));
-                // Probes of revoked keys mean something only if a key in force is known.
-                marker == Some(in_force.marker) && ask("/booking", &in_force.guest).status == 200
+                // A refusal of revoked keys is meaningful only if a key in force is accepted.
+                marker == Some(in_force.marker)
+                    && ask("/booking", &in_force.revocable_key).status == 200
             });
         }
     }
 
-    /// Checks that no request is left on a router once no caller is.
+    /// Checks that no request is held or queued on a router once all callers have ended.
     fn check_idle(&mut self) {
-        for place in CONTROL..VMS {
-            let what = format!("{} is idle", self.fleet.vms[place].name);
-            self.must(&what, |run| {
-                let status = run.fleet.vms[place].status().unwrap_or_default();
+        for index in CONTROL_COUNT..VM_COUNT {
+            let what = format!("{} is idle", self.fleet.vms[index].name);
+            self.wait_for(&what, |run| {
+                let status = run.fleet.vms[index].status().unwrap_or_default();
                 let waiting = status["waiting"].as_object();
                 status["held"] == 0
                     && waiting.is_some_and(|w| w.values().all(|n| n == 0))
@@ -458,52 +473,57 @@
         }
     }
 
+    /// Checks that no VM has logged a panic.
     fn check_logs(&self) {
         for vm in &self.fleet.vms {
             if let Some(line) = vm.log().lines().find(|l| l.contains("panicked")) {
                 let text = format!("{}: {line}", vm.name);
-                self.world.ledger.wrong(text);
+                self.shared.observations.report_violation(text);
             }
         }
     }
 }
 
-/// Asks a VM's fault hook for something; gives whether it did it.
-async fn hooked(operators: SocketAddr, path: String) -> bool {
+/// Sends a request to the fault injection of a VM; returns whether it succeeded.
+async fn inject_fault(operators: SocketAddr, path: String) -> bool {
     let mut client = Client::new(operators);
-    let http = request("POST", &path, OPERATOR, &[], "");
-    client.call(http, PROBE).await.status == 200
+    let http = request("POST", &path, OPERATOR_KEY, &[], "");
+    client.call(http, PROBE_TIMEOUT).await.status == 200
 }
 
-/// Sends requests until one is served; one try is made in any case.
-async fn served(world: &World, address: SocketAddr, customer: &str, kind: Kind, began: Instant) {
+/// Sends requests, at least one, until one is served; reports a violation if none is within
+/// `RECOVERY_TIMEOUT`.
+async fn served(shared: &Shared, address: SocketAddr, customer: &str, kind: Kind, began: Instant) {
     let mut client = Client::new(address);
     loop {
-        let sent = world.request("last", kind);
-        if callers::send(world, &mut client, customer, &sent, 5, None).await == End::Whole {
+        let sent = shared.request("last", kind);
+        if callers::send(shared, &mut client, customer, &sent, 5, None).await == End::Complete {
             return;
         }
-        if began.elapsed() > PATIENCE {
-            let text = format!("{customer} never gets {kind:?} from {address}");
-            return world.ledger.wrong(text);
+        if began.elapsed() > RECOVERY_TIMEOUT {
+            let text = format!("{customer} was never served {kind:?} by {address}");
+            return shared.observations.report_violation(text);
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// The configuration, with the proxies' addresses and short timeouts.
+/// The configuration, with addresses of proxies and short timeouts.
 fn text(fleet: &Fleet, proxies: &[Proxy]) -> String {
     let mut text = fleet.configuration();
-    for (place, proxy) in PROXIED.iter().zip(&proxies[ROUTERS..]) {
-        let direct = format!("address = {}\n", fleet.stand_ins[*place].address);
+    for (index, proxy) in PROXIED.iter().zip(&proxies[ROUTER_COUNT..]) {
+        let direct = format!("address = {}\n", fleet.stand_ins[*index].address);
         text = text.replace(&direct, &format!("address = {}\n", proxy.address));
     }
-    for place in EVACUATED {
-        let address = format!("address = {}\n", fleet.stand_ins[place].address);
+    for index in EVACUATED {
+        let address = format!("address = {}\n", fleet.stand_ins[index].address);
         let here = format!("{address}data-centre = dc-1");
-        text = text.replace(&here, &format!("{address}data-centre = {EVACUATED_CENTRE}"));
+        text = text.replace(
+            &here,
+            &format!("{address}data-centre = {EVACUATED_DATA_CENTRE}"),
+        );
     }
-    // A silent endpoint must cost a caller less than its patience.
+    // A silent endpoint must time out before its caller does.
     text.replace("cost = event\n", "cost = event\ntimeout = 6s\n")
         .replace("cost = request\n", "cost = request\ntimeout = 6s\n")
 }
--- a/tests/soak/schedule.rs
+++ b/tests/soak/schedule.rs
@@ -1,55 +1,55 @@
-//! The schedule of faults: a seed gives the same faults at the same moments.
+//! Schedule of faults: the same seed gives the same faults at the same times.
 
 use super::proxy::Mode;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::time::Duration;
 
-/// Control VMs; they come first among the VMs.
-pub(crate) const CONTROL: usize = 3;
-/// Routers, behind them.
-pub(crate) const ROUTERS: usize = 3;
-/// All VMs.
-pub(crate) const VMS: usize = CONTROL + ROUTERS;
-/// Stand-ins: two model engines, then two plain services.
-pub(crate) const STAND_INS: usize = 4;
-/// Stand-ins that the routers reach through a proxy: the first of each service. The
-/// others are reached directly, so that a killed one refuses the connection.
+/// Number of control VMs, the first of the VMs.
+pub(crate) const CONTROL_COUNT: usize = 3;
+/// Number of routers, which follow the control VMs.
+pub(crate) const ROUTER_COUNT: usize = 3;
+/// Number of all VMs.
+pub(crate) const VM_COUNT: usize = CONTROL_COUNT + ROUTER_COUNT;
+/// Number of stand-ins: two model engines, then two plain services.
+pub(crate) const STAND_IN_COUNT: usize = 4;
+/// Stand-ins that routers reach through a proxy: the first of each service. The others are
+/// reached directly, so that a killed stand-in refuses connections.
 pub(crate) const PROXIED: [usize; 2] = [0, 2];
 /// Stand-ins in the data centre that is evacuated.
 pub(crate) const EVACUATED: [usize; 2] = [1, 3];
-/// Its name.
-pub(crate) const EVACUATED_CENTRE: &str = "dc-2";
-/// Proxies: one before each router, then one before each stand-in of `PROXIED`.
-pub(crate) const PROXIES: usize = ROUTERS + PROXIED.len();
+/// Name of the data centre that is evacuated.
+pub(crate) const EVACUATED_DATA_CENTRE: &str = "dc-2";
+/// Number of proxies: one before each router, then one before each stand-in of `PROXIED`.
+pub(crate) const PROXY_COUNT: usize = ROUTER_COUNT + PROXIED.len();
 
-/// Milliseconds between the beginnings of two faults, or series of faults. Far less
-/// than they last, so that they overlap.
-const BETWEEN_MS: std::ops::Range<u64> = 50..700;
-/// Milliseconds that a fault lasts.
-const LENGTH_MS: std::ops::Range<u64> = 200..4000;
-/// Milliseconds by which a clock moves on: less and more than a lease, an epoch and
+/// Milliseconds between the starts of two faults, or series of faults. Much shorter than
+/// the faults last, so that they overlap.
+const FAULT_INTERVAL_MS: std::ops::Range<u64> = 50..700;
+/// Duration of a fault in milliseconds.
+const FAULT_DURATION_MS: std::ops::Range<u64> = 200..4000;
+/// Milliseconds by which a clock is advanced: from less to more than a lease, an epoch and
 /// the time for a revocation.
 const SUSPEND_MS: std::ops::Range<u64> = 300..9000;
 /// Milliseconds between the faults of a series.
-const SERIES_MS: std::ops::Range<u64> = 50..900;
-/// How often a fault comes as a series.
-const SERIES: f64 = 0.25;
-/// Most faults of a series.
-const SERIES_MAX: u64 = 4;
+const SERIES_INTERVAL_MS: std::ops::Range<u64> = 50..900;
+/// Probability that a fault is repeated in a series.
+const SERIES_PROBABILITY: f64 = 0.25;
+/// Maximum number of faults in a series.
+const MAX_FAULTS_PER_SERIES: u64 = 4;
 
-/// A process.
+/// A process, by its index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Target {
     Vm(usize),
     StandIn(usize),
 }
 
-/// What is done to the fleet.
+/// An action on the fleet: a fault, its end or a change by the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Act {
-    /// Sets what a proxy does.
-    Line(usize, Mode),
+    /// Sets the fault of a proxy.
+    SetProxy(usize, Mode),
     /// SIGSTOP.
     Pause(Target),
     /// SIGCONT.
@@ -60,47 +60,47 @@
     Terminate(Target),
     /// Starts a process that is down.
     Start(Target),
-    /// Closes the link between two VMs and refuses others, at the first of them. Not in
-    /// silence: there the hook loses messages of a link that stays up, which no network
-    /// does to QUIC. Links fall silent where a process is paused.
+    /// Closes the link between two VMs and refuses new ones, at the first of the VMs. The
+    /// silent mode of the fault injection is not used: it drops messages of a link that
+    /// stays up, which no network does to QUIC. Paused processes cover silent links.
     Cut(usize, usize),
-    /// The same with all links of a VM.
+    /// Closes all links of a VM and refuses new ones.
     Isolate(usize),
-    /// Joins all links of a VM.
+    /// Restores all links of a VM.
     Join(usize),
-    /// Moves a VM's clock on by so many milliseconds, as a suspension does.
+    /// Advances a VM's clock by a number of milliseconds, as a suspension does.
     Suspend(usize, u64),
-    /// Kills a control VM and removes its disk.
+    /// Kills a control VM and removes its durable state.
     Wipe(usize),
     /// Applies another configuration.
     Change,
-    /// The same, with another key for the customer whose keys are revoked.
+    /// Applies a configuration that revokes a customer's key and adds another one.
     Revoke,
-    /// Announces that an endpoint stops.
+    /// Announces the departure of an endpoint.
     Withdraw(usize),
-    /// Takes that back.
+    /// Withdraws the announcement of the departure.
     Return(usize),
     /// Evacuates the data centre of the second stand-in of each service.
     Evacuate,
-    /// Ends that.
-    UseAgain,
-    /// One customer sends many times its usual through a router.
+    /// Ends the evacuation.
+    EndEvacuation,
+    /// Floods a router with requests of one customer.
     Flood(usize),
 }
 
-/// An act and its moment.
+/// An act and the time at which it is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Step {
     pub(crate) at: Duration,
     pub(crate) act: Act,
-    /// Name under which faults are counted; none for what ends a fault.
+    /// Name under which a fault is counted; `None` for the end of a fault.
     pub(crate) kind: Option<&'static str>,
 }
 
-/// A kind of fault, how it begins, and what ends it.
+/// Name of a fault, the act that starts it, and the act that ends it.
 type Fault = (&'static str, Act, Option<Act>);
 
-/// Makes the schedule of a seed. What is still on at its end is ended by the runner.
+/// Generates the schedule of a seed. Faults that outlast it are ended by the run.
 pub(crate) fn schedule(seed: u64, length: Duration) -> Vec<Step> {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut steps = Vec::new();
@@ -108,15 +108,15 @@
     while at < length {
         let (kind, begin, end) = fault(&mut rng);
         let mut moment = at;
-        let is_series = rng.random_bool(SERIES);
-        let most = if is_series { SERIES_MAX } else { 1 };
+        let is_series = rng.random_bool(SERIES_PROBABILITY);
+        let most = if is_series { MAX_FAULTS_PER_SERIES } else { 1 };
         for _ in 0..rng.random_range(1..=most) {
-            let lasts = millis(&mut rng, LENGTH_MS);
+            let lasts = millis(&mut rng, FAULT_DURATION_MS);
             steps.push(step(moment, begin, Some(kind)));
             steps.extend(end.map(|end| step(moment + lasts, end, None)));
-            moment += millis(&mut rng, SERIES_MS);
+            moment += millis(&mut rng, SERIES_INTERVAL_MS);
         }
-        at += millis(&mut rng, BETWEEN_MS);
+        at += millis(&mut rng, FAULT_INTERVAL_MS);
     }
     wipe(&mut rng, &mut steps, length);
     steps.retain(|s| s.at < length);
@@ -132,34 +132,35 @@
     Duration::from_millis(rng.random_range(range))
 }
 
-/// Adds the loss of one disk. More would be a majority of the disks, if the repair of
-/// the first had not ended, and to lose that is to lose what was accepted.
+/// Adds the loss of one disk. A second one could be lost before the first is repaired, and
+/// losing a majority of disks loses accepted changes.
 fn wipe(rng: &mut Pcg64, steps: &mut Vec<Step>, length: Duration) {
-    let place = rng.random_range(0..CONTROL);
+    let index = rng.random_range(0..CONTROL_COUNT);
     let at = length.mul_f64(rng.random_range(0.1..0.9));
-    let back = at + millis(rng, LENGTH_MS);
-    steps.push(step(at, Act::Wipe(place), Some("wipe-disk")));
-    steps.push(step(back, Act::Start(Target::Vm(place)), None));
+    let back = at + millis(rng, FAULT_DURATION_MS);
+    steps.push(step(at, Act::Wipe(index), Some("wipe-disk")));
+    steps.push(step(back, Act::Start(Target::Vm(index)), None));
 }
 
+/// Generates a random fault.
 fn fault(rng: &mut Pcg64) -> Fault {
     match rng.random_range(0..100) {
         0..24 => {
-            let place = rng.random_range(0..PROXIES);
+            let index = rng.random_range(0..PROXY_COUNT);
             let (kind, mode) = mode(rng);
-            let end = Act::Line(place, Mode::Pass);
-            (kind, Act::Line(place, mode), Some(end))
+            let end = Act::SetProxy(index, Mode::Pass);
+            (kind, Act::SetProxy(index, mode), Some(end))
         }
         24..32 => {
-            let vm = rng.random_range(0..VMS);
-            let peer = (vm + rng.random_range(1..VMS)) % VMS;
+            let vm = rng.random_range(0..VM_COUNT);
+            let peer = (vm + rng.random_range(1..VM_COUNT)) % VM_COUNT;
             if rng.random_bool(0.5) {
                 return ("isolate", Act::Isolate(vm), Some(Act::Join(vm)));
             }
             ("cut-link", Act::Cut(vm, peer), Some(Act::Join(vm)))
         }
         32..36 => {
-            let vm = rng.random_range(0..VMS);
+            let vm = rng.random_range(0..VM_COUNT);
             let suspend = Act::Suspend(vm, rng.random_range(SUSPEND_MS));
             ("suspend-clock", suspend, None)
         }
@@ -167,15 +168,16 @@
         76..84 => ("change", Act::Change, None),
         84..90 => ("revoke", Act::Revoke, None),
         90..96 => {
-            let place = rng.random_range(0..STAND_INS);
-            let end = Act::Return(place);
-            ("withdraw-endpoint", Act::Withdraw(place), Some(end))
+            let index = rng.random_range(0..STAND_IN_COUNT);
+            let end = Act::Return(index);
+            ("withdraw-endpoint", Act::Withdraw(index), Some(end))
         }
-        96..98 => ("evacuate", Act::Evacuate, Some(Act::UseAgain)),
-        _ => ("flood", Act::Flood(rng.random_range(0..ROUTERS)), None),
+        96..98 => ("evacuate", Act::Evacuate, Some(Act::EndEvacuation)),
+        _ => ("flood", Act::Flood(rng.random_range(0..ROUTER_COUNT)), None),
     }
 }
 
+/// Generates a random fault of a proxy.
 fn mode(rng: &mut Pcg64) -> (&'static str, Mode) {
     match rng.random_range(0..5) {
         0 => ("delay", Mode::Delay(millis(rng, 5..300))),
@@ -186,24 +188,33 @@
     }
 }
 
+/// Generates a random fault of a process.
 fn signal(rng: &mut Pcg64) -> Fault {
     let way = rng.random_range(0..3);
     if rng.random_bool(0.7) {
-        let vm = Target::Vm(rng.random_range(0..VMS));
+        let vm = Target::Vm(rng.random_range(0..VM_COUNT));
         return match way {
             0 => ("pause-vm", Act::Pause(vm), Some(Act::Resume(vm))),
             1 => ("kill-vm", Act::Kill(vm), Some(Act::Start(vm))),
             _ => ("terminate-vm", Act::Terminate(vm), Some(Act::Start(vm))),
         };
     }
-    let one = Target::StandIn(rng.random_range(0..STAND_INS));
+    let stand_in = Target::StandIn(rng.random_range(0..STAND_IN_COUNT));
     match way {
-        0 => ("pause-stand-in", Act::Pause(one), Some(Act::Resume(one))),
-        1 => ("kill-stand-in", Act::Kill(one), Some(Act::Start(one))),
+        0 => (
+            "pause-stand-in",
+            Act::Pause(stand_in),
+            Some(Act::Resume(stand_in)),
+        ),
+        1 => (
+            "kill-stand-in",
+            Act::Kill(stand_in),
+            Some(Act::Start(stand_in)),
+        ),
         _ => (
             "terminate-stand-in",
-            Act::Terminate(one),
-            Some(Act::Start(one)),
+            Act::Terminate(stand_in),
+            Some(Act::Start(stand_in)),
         ),
     }
 }
