--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -65,7 +65,7 @@
     assert_eq!(
         evacuate(&fleet, "c1", &["dc-2"]),
         Some(0),
-        "a repeated command succeeds"
+        "a repeated command failed"
     );
     for vm in ["r1", "r2"] {
         eventually("the evacuation is shown", || is_shown(&fleet, vm, "dc-2"));
--- a/tests/harness/http.rs
+++ b/tests/harness/http.rs
@@ -31,19 +31,23 @@
             .unwrap_or("")
     }
 
+    /// Value of the header `cowslipford-outcome`.
     pub(crate) fn outcome(&self) -> &str {
         self.header("cowslipford-outcome")
     }
 
+    /// The body as text.
     pub(crate) fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 }
 
+/// Sends a GET request.
 pub(crate) fn get(address: SocketAddr, path: &str, key: &str) -> Answer {
     send(address, "GET", path, key, &[], "")
 }
 
+/// Sends a GET request; `None` if no head was received.
 pub(crate) fn try_get(address: SocketAddr, path: &str, key: &str) -> Option<Answer> {
     let answer = get(address, path, key);
     (answer.status != 0).then_some(answer)
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -157,7 +157,9 @@
     pub(crate) stand_ins: Vec<StandIn>,
     pub(crate) folder: TempDir,
     plan: Plan,
+    /// Number of the fleet in this test process; selects its loopback addresses.
     fleet_number: u8,
+    /// Number of loopback addresses in use.
     allocated_hosts: u8,
 }
 
@@ -238,6 +240,7 @@
         TcpListener::bind((ip, 0)).unwrap().local_addr().unwrap()
     }
 
+    /// Writes the settings of a VM, without starting the VM.
     fn vm_settings(&mut self, name: &str, peers: &str, link: SocketAddr, control: bool) -> Vm {
         let data = self.folder.path().join(format!("data-{name}"));
         let operators = self.fresh_address();
@@ -313,6 +316,7 @@
         self.stand_ins.push(stand_in);
     }
 
+    /// Waits until the readiness checks of all VMs succeed.
     pub(crate) fn wait_ready(&self) {
         for vm in &self.vms {
             eventually("a VM is ready", || vm.is_ready());
@@ -351,6 +355,7 @@
         text
     }
 
+    /// Applies `configuration()` and waits until each router serves requests.
     pub(crate) fn apply_default(&mut self) {
         let text = self.configuration();
         let applied = self.apply(&text, &[]);
@@ -543,6 +548,7 @@
         http::try_get(self.operators, "/ready", "").is_some_and(|a| a.status == 200)
     }
 
+    /// Status page of the operators' interface; `None` if the VM is down or does not answer.
     pub(crate) fn status(&self) -> Option<serde_json::Value> {
         if !self.is_live() {
             return None;
@@ -584,6 +590,7 @@
         fs::remove_dir_all(&self.data).unwrap();
     }
 
+    /// Output of all runs of the process.
     pub(crate) fn log(&self) -> String {
         fs::read_to_string(&self.process.log).unwrap_or_default()
     }
@@ -607,6 +614,7 @@
         }
     }
 
+    /// Starts the process and waits until it handles SIGTERM.
     pub(crate) fn start(&mut self) {
         let mut options = fs::OpenOptions::new();
         let log = options.create(true).append(true).open(&self.log).unwrap();
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -265,6 +265,7 @@
         fleet
     }
 
+    /// Allocates a loopback address.
     fn host(&mut self) -> IpAddr {
         self.allocated_hosts += 1;
         IpAddr::V4(Ipv4Addr::new(
@@ -284,6 +285,7 @@
         probe.local_addr().unwrap().port()
     }
 
+    /// Settings that control VMs and routers have in common.
     fn common(&self, ip: IpAddr) -> String {
         let seeds: Vec<String> = self.seeds.iter().map(ToString::to_string).collect();
         format!(
@@ -300,12 +302,14 @@
         )
     }
 
+    /// Writes the settings of a VM.
     fn write(&self, ip: IpAddr, text: &str) -> PathBuf {
         let path = self.folder.path().join(format!("{ip}.ini"));
         std::fs::write(&path, text).unwrap();
         path
     }
 
+    /// A control VM, which is not started yet.
     fn control_vm(&mut self, ip: IpAddr, first_start: bool) -> Vm {
         let address = SocketAddr::new(ip, self.free_port());
         let text = format!(
@@ -321,6 +325,7 @@
         }
     }
 
+    /// A router, which is not started yet.
     fn router(&mut self) -> Vm {
         let ip = self.host();
         let address = SocketAddr::new(ip, self.free_port());
@@ -439,6 +444,7 @@
         })
     }
 
+    /// Status code of a request to a router; 0 without an answer.
     fn status(&self, router: usize, path: &str, key: &str) -> u16 {
         self.call(router, path, key).map_or(0, |a| a.status_code)
     }
