--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -592,6 +592,11 @@
     fleet.set_listing_of_address(address);
     fleet.put_until_accepted(0, &configuration(1, r#""k1""#, "/a/"));
     fleet.wait_ready();
+    // A router may be ready before an accepted configuration reaches it. A call that it then
+    // refuses keeps its connection open, and would delay the reading of the other answers.
+    eventually("the configuration is in force", || {
+        fleet.log(0).contains("version-in-force")
+    });
     let mut callers = Vec::new();
     eventually("the endpoint aborts the answer", || {
         if callers.len() < 4 {
