--- a/components/coordination/tests/region/main.rs
+++ b/components/coordination/tests/region/main.rs
@@ -1,13 +1,13 @@
-//! A region's routers, schedulers and engines in one clock: how much is served under uneven
-//! and too much load, and who gets how much of it.
+//! Simulated regions under uneven load and overload: their throughput, and the share of it that
+//! each customer gets.
 
 #[path = "../engines/mod.rs"]
 mod engines;
 #[path = "../views/mod.rs"]
 mod views;
 
-mod divided;
 mod fair_share;
 mod setup;
+mod sharded;
 mod share;
-mod world;
+mod simulation;
