--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -396,7 +396,7 @@
             router: 1,
             count: n,
         };
-        journal.note(state::event::Event::new(state::event::Kind::Sent).request(id));
+        journal.record(state::event::Event::new(state::event::Kind::Sent).request(id));
     }
     let each = began.elapsed().as_nanos() as f64 / count as f64;
     println!("events: {each:.0} ns each");
--- a/components/coordination/src/dispatcher/mod.rs
+++ b/components/coordination/src/dispatcher/mod.rs
@@ -114,7 +114,7 @@
     /// Refuse the request, which cannot be served in time.
     Refuse(Handle, Refusal),
     /// Refuse the request because no endpoint takes work for it.
-    Unserved(Handle),
+    NoEndpoint(Handle),
     /// Give up the request, which was not sent before its deadline.
     Expire(Handle),
 }
@@ -365,7 +365,7 @@
             return effects;
         };
         let shard = request.shard.clone();
-        self.report(now, &shard, Report::Began(seq, took_ms), &mut effects);
+        self.report(now, &shard, Report::FirstByte(seq, took_ms), &mut effects);
         effects
     }
 
@@ -448,7 +448,7 @@
     }
 
     /// Applies a new view: assignments of schedulers, and endpoints that join or leave.
-    pub fn follow(&mut self, now: Millis, view: &View) -> Effects {
+    pub fn update_view(&mut self, now: Millis, view: &View) -> Effects {
         let mut effects = Effects::new();
         self.selector.update(view);
         let endpoints = view.config.endpoints.iter();
@@ -567,7 +567,7 @@
     }
 }
 
-/// Endpoints of a shard: id, slots, lead, and whether the endpoint gets no new work.
+/// Endpoints of a shard: id, slots, prefetch, and whether the endpoint gets no new work.
 pub fn endpoints<'a>(
     view: &'a View,
     shard: &'a Shard,
--- a/components/coordination/src/dispatcher/queue.rs
+++ b/components/coordination/src/dispatcher/queue.rs
@@ -407,7 +407,7 @@
         }
         for handle in unserved {
             self.drop_waiting(now, handle, effects);
-            effects.push(Effect::Unserved(handle));
+            effects.push(Effect::NoEndpoint(handle));
         }
     }
 
--- a/components/coordination/src/messages.rs
+++ b/components/coordination/src/messages.rs
@@ -140,7 +140,8 @@
     Return(Seq),
     /// The first byte of the answer arrived, this many milliseconds after the grant; `None`
     /// if the router itself ran late and its measurement is unreliable.
-    Began(Seq, Option<u32>),
+    #[serde(rename = "began")]
+    FirstByte(Seq, Option<u32>),
     /// Cost of a request in progress so far.
     Progress(Seq, u32),
     /// A request has ended, with its total cost.
@@ -152,7 +153,7 @@
 /// Service that a scheduler has given in its epoch, for the schedulers of other regions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Served {
+pub struct Totals {
     /// Epoch of the scheduler.
     pub epoch: Epoch,
     /// Whether the totals cover all customers; otherwise only those that have changed.
--- a/components/coordination/src/scheduler/mod.rs
+++ b/components/coordination/src/scheduler/mod.rs
@@ -26,7 +26,7 @@
 use crate::health;
 use crate::ledger::{virtual_cost, Ledger};
 use crate::limit::Bucket;
-use crate::messages::{Forecast, Hello, Seq, Served};
+use crate::messages::{Forecast, Hello, Seq, Totals};
 use crate::prelude::*;
 use crate::prompt::Part;
 use crate::slot::{Slots, Strategy};
@@ -376,7 +376,7 @@
                 Effects::new()
             }
             Report::Return(seq) => self.return_grant(now, session, seq),
-            Report::Began(seq, took_ms) => self.note_first_byte(now, session, seq, took_ms),
+            Report::FirstByte(seq, took_ms) => self.note_first_byte(now, session, seq, took_ms),
             Report::Progress(seq, cost) => {
                 self.progress(session, seq, cost);
                 Effects::new()
@@ -508,12 +508,12 @@
     /// Takes the next report of the service given here in this epoch, for other regions: the
     /// totals that have grown since the last report, and regularly all totals, in case a report
     /// was lost.
-    pub fn take_served(&mut self) -> Served {
+    pub fn take_totals(&mut self) -> Totals {
         let grown = std::mem::take(&mut self.grown);
         let all = self.reports.is_multiple_of(FULL_REPORT_INTERVAL);
         self.reports = self.reports.wrapping_add(1);
         let reported = self.served.iter().filter(|(c, _)| all || grown.contains(c));
-        Served {
+        Totals {
             epoch: self.epoch,
             all,
             totals: reported
@@ -526,13 +526,13 @@
     ///
     /// The first report with all totals of an epoch only sets the base for counting: earlier
     /// service was counted by the scheduler that this one has replaced.
-    pub fn merge_served(&mut self, served: &Served) {
-        let is_known = self.foreign.contains_key(&served.epoch);
-        if !is_known && !served.all {
+    pub fn merge_totals(&mut self, received: &Totals) {
+        let is_known = self.foreign.contains_key(&received.epoch);
+        if !is_known && !received.all {
             return;
         }
-        let totals = self.foreign.entry(served.epoch).or_default();
-        for (customer, total) in &served.totals {
+        let totals = self.foreign.entry(received.epoch).or_default();
+        for (customer, total) in &received.totals {
             let last = totals.insert(*customer, *total);
             let base = if is_known { last.unwrap_or(0) } else { *total };
             self.ledger.add(*customer, total.saturating_sub(base));
--- a/components/coordination/src/slot/mod.rs
+++ b/components/coordination/src/slot/mod.rs
@@ -39,7 +39,7 @@
     id: EndpointId,
     slots: u32,
     /// Requests beyond its slots that may be sent ahead, to cover the grant's round trip.
-    lead: u32,
+    prefetch: u32,
     /// Whether the endpoint gets no new requests.
     leaving: bool,
     /// Requests in progress that this scheduler has granted.
@@ -213,7 +213,7 @@
     }
 
     /// Adds or changes an endpoint.
-    pub fn set(&mut self, id: EndpointId, slots: u32, lead: u32, leaving: bool) {
+    pub fn set(&mut self, id: EndpointId, slots: u32, prefetch: u32, leaving: bool) {
         let index = self.endpoints.index_or_insert(id, || Endpoint::new(id));
         self.ranking.mark_stale(index);
         let Some(endpoint) = self.endpoints.at_mut(index) else {
@@ -231,7 +231,7 @@
             }
         }
         endpoint.slots = slots;
-        endpoint.lead = lead;
+        endpoint.prefetch = prefetch;
         endpoint.leaving = leaving;
     }
 
@@ -542,7 +542,7 @@
         Endpoint {
             id,
             slots: 0,
-            lead: 0,
+            prefetch: 0,
             leaving: false,
             running: 0,
             history: VecDeque::new(),
@@ -578,7 +578,7 @@
         if self.leaving || self.is_leaving(now) || self.is_paced(now) {
             return 0;
         }
-        let capacity = self.health.capacity(now, self.slots + self.lead);
+        let capacity = self.health.capacity(now, self.slots + self.prefetch);
         capacity.saturating_sub(self.running + self.foreign_load)
     }
 
@@ -613,7 +613,7 @@
         !self.leaving
             && !self.is_leaving(now)
             && !self.is_paced(now)
-            && self.health.capacity(now, self.slots + self.lead) > 0
+            && self.health.capacity(now, self.slots + self.prefetch) > 0
     }
 
     /// Load in thousandths of the slots; the lowest score is best. An endpoint that has not
--- a/components/coordination/tests/assignment.rs
+++ b/components/coordination/tests/assignment.rs
@@ -8,7 +8,7 @@
 use state::id::Name;
 use state::view::{Shard, View};
 use std::collections::BTreeSet;
-use views::{name, place, SERVICE};
+use views::{name, node, SERVICE};
 
 /// A view of one service with `counts[n]` endpoints in data centre `dc-n`.
 fn view(counts: &[u32]) -> View {
@@ -74,7 +74,7 @@
     let now = Millis(CANDIDATE_WAIT_MS);
     for (vm, data_centre) in [("a", "dc-0"), ("b", "dc-0"), ("c", "dc-1")] {
         let site = Site {
-            node: place(vm),
+            node: node(vm),
             region: name("main"),
             data_centre: name(data_centre),
         };
--- a/components/coordination/tests/backoff.rs
+++ b/components/coordination/tests/backoff.rs
@@ -82,7 +82,7 @@
     };
     let mut dispatcher = Dispatcher::new(location, bounds);
     dispatcher.link_up(Millis(0), &name("s-0"));
-    dispatcher.follow(Millis(0), view);
+    dispatcher.update_view(Millis(0), view);
     dispatcher
 }
 
--- a/components/coordination/tests/candidacy.rs
+++ b/components/coordination/tests/candidacy.rs
@@ -74,7 +74,7 @@
             let is_listed = tick >= 100;
             if candidate.is_candidate(now, status(None, is_listed)) {
                 let site = Site {
-                    node: views::place(&format!("r-{n}")),
+                    node: views::node(&format!("r-{n}")),
                     region: views::name("main"),
                     data_centre: views::name(&format!("dc-{}", n % 3)),
                 };
--- a/components/coordination/tests/cells.rs
+++ b/components/coordination/tests/cells.rs
@@ -30,10 +30,10 @@
 /// A list with `each` endpoints in each data centre.
 fn list(each: usize) -> Vec<Entry> {
     let all = (0..each * DATA_CENTRES).map(|n| {
-        let mut listed = endpoints::listed(&format!("e-{n:06}"), None, false);
-        listed.endpoint.service = name("assistant");
-        listed.endpoint.data_centre = name(&format!("dc-{}", n % DATA_CENTRES));
-        listed
+        let mut entry = endpoints::entry(&format!("e-{n:06}"), None, false);
+        entry.endpoint.service = name("assistant");
+        entry.endpoint.data_centre = name(&format!("dc-{}", n % DATA_CENTRES));
+        entry
     });
     all.collect()
 }
@@ -64,10 +64,10 @@
     let view = partial(&registry);
     let all: Vec<Shard> = shards(&view).into_iter().collect();
     let mut counts = vec![0; all.len()];
-    for listed in &registry.listing().endpoints {
-        let covers = |shard: &Shard| shard.covers(listed.id(), &listed.endpoint);
+    for entry in &registry.listing().endpoints {
+        let covers = |shard: &Shard| shard.covers(entry.id(), &entry.endpoint);
         let covering: Vec<usize> = (0..all.len()).filter(|n| covers(&all[*n])).collect();
-        assert_eq!(covering.len(), 1, "{listed:?}");
+        assert_eq!(covering.len(), 1, "{entry:?}");
         counts[covering[0]] += 1;
     }
     let most = counts.iter().max().unwrap();
@@ -92,9 +92,9 @@
     // Each new cell has half of the endpoints of an old one.
     let doubled = again(4 * SHARD_ENDPOINTS_MAX + 10);
     assert_eq!(doubled.len(), 2 * before.len());
-    let listed = &list(1)[0];
+    let entry = &list(1)[0];
     let covers = |all: &BTreeSet<Shard>| {
-        let shard = all.iter().find(|s| s.covers(listed.id(), &listed.endpoint));
+        let shard = all.iter().find(|s| s.covers(entry.id(), &entry.endpoint));
         shard.unwrap().cell.unwrap()
     };
     let (old, new) = (covers(&before), covers(&doubled));
@@ -114,7 +114,7 @@
         bytes: 1 << 30,
     };
     let mut dispatcher = Dispatcher::new(home, bounds);
-    dispatcher.follow(Millis(0), view);
+    dispatcher.update_view(Millis(0), view);
     for n in 0..3000_u32 {
         let prompt = Prompt::new([(u64::from(n), 5000), (u64::from(n) + 10_000, 50)], 100);
         let arrival = Arrival {
@@ -317,8 +317,8 @@
 #[test]
 fn a_router_remembers_a_bounded_number_of_endpoints_for_a_while() {
     let mut recent = Recent::default();
-    for (n, listed) in (0..).zip(list(400)) {
-        recent.insert(Millis(n), listed.id(), listed.endpoint);
+    for (n, entry) in (0..).zip(list(400)) {
+        recent.insert(Millis(n), entry.id(), entry.endpoint);
     }
     assert_eq!(recent.usable(Millis(2000)).count(), RECENT_MAX);
     assert_eq!(recent.usable(Millis(2000 + RECENT_MS)).count(), 0);
--- a/components/coordination/tests/cold.rs
+++ b/components/coordination/tests/cold.rs
@@ -239,7 +239,7 @@
 fn router(incarnation: u64, view: &View, routers: Option<u32>) -> Dispatcher {
     let mut dispatcher = arrivals::dispatcher(name("main"), name("dc-1"), incarnation);
     dispatcher.link_up(Millis(0), &name("s-0"));
-    dispatcher.follow(Millis(0), view);
+    dispatcher.update_view(Millis(0), view);
     if let Some(routers) = routers {
         dispatcher
             .arrive(Millis(0), view, arrival(SERVICE))
@@ -339,10 +339,10 @@
     assert!(late.warm_at.is_empty());
 }
 
-fn listed(text: &str, cold_ms: u32) -> Entry {
+fn entry(text: &str, cold_ms: u32) -> Entry {
     Entry {
         cold_ms,
-        ..endpoints::listed(text, Some(1), false)
+        ..endpoints::entry(text, Some(1), false)
     }
 }
 
@@ -350,21 +350,21 @@
 /// of cold endpoints decrease, and against one that ignores a new cold time.
 #[test]
 fn can_follow_cold_times_without_a_change_at_each_reading() {
-    let id = listed("a", 0).id();
+    let id = entry("a", 0).id();
     let mut registry = Registry::default();
-    assert!(registry.apply_reading(Millis(0), vec![listed("a", 3000)], 1));
+    assert!(registry.apply_reading(Millis(0), vec![entry("a", 3000)], 1));
     assert_eq!(registry.warm_at().get(&id), Some(&Millis(3000)));
-    assert!(!registry.apply_reading(Millis(500), vec![listed("a", 2700)], 2));
+    assert!(!registry.apply_reading(Millis(500), vec![entry("a", 2700)], 2));
     assert_eq!(registry.export(Millis(1000)).endpoints[0].cold_ms, 2000);
-    assert!(registry.apply_reading(Millis(1000), vec![listed("a", 3000)], 3));
+    assert!(registry.apply_reading(Millis(1000), vec![entry("a", 3000)], 3));
     assert_eq!(registry.warm_at().get(&id), Some(&Millis(4000)));
     let mut other = Registry::default();
     assert!(other.apply_listing(Millis(70), registry.export(Millis(1000))));
     assert_eq!(other.warm_at().get(&id), Some(&Millis(3070)));
     assert!(!other.apply_listing(Millis(90), registry.export(Millis(1020))));
-    assert!(!registry.apply_reading(Millis(5000), vec![listed("a", 0)], 4));
+    assert!(!registry.apply_reading(Millis(5000), vec![entry("a", 0)], 4));
     assert!(registry.warm_at().is_empty());
-    assert!(registry.apply_reading(Millis(6000), vec![listed("a", 3000)], 5));
+    assert!(registry.apply_reading(Millis(6000), vec![entry("a", 3000)], 5));
 }
 
 /// Guards against a pacer that admits a burst after a pause.
--- a/components/coordination/tests/consensus.rs
+++ b/components/coordination/tests/consensus.rs
@@ -162,7 +162,7 @@
         let view = &cluster.vms[leader].store.view;
         assert_eq!(view.config_version, Version(1));
         let current: Vec<&Node> = cluster.vms.iter().map(|vm| &vm.node).collect();
-        assert!(view.control.iter().all(|place| current.contains(&place)));
+        assert!(view.control.iter().all(|node| current.contains(&node)));
     }
 }
 
@@ -704,14 +704,14 @@
     let (all, _, start) = three_members();
     let seeds = all.iter().map(|m| m.node.clone()).collect();
     let mut core = Core::new(all[0].clone(), seeds, start, Millis(0));
-    let mut step = |now, place: &Node, message| {
+    let mut step = |now, node: &Node, message| {
         core.tick(Millis(now));
         let envelope = Envelope {
             from: DiskId(2),
             to: Some(DiskId(1)),
             message,
         };
-        core.step(Millis(now), place, envelope);
+        core.step(Millis(now), node, envelope);
         core.ready();
         core.role()
     };
--- a/components/coordination/tests/decisions.rs
+++ b/components/coordination/tests/decisions.rs
@@ -5,7 +5,7 @@
 use coordination::health::{Change, Health, EJECT_FAILURES, EJECT_MIN_MS};
 use coordination::ledger::{virtual_cost, Ledger};
 use coordination::limit::Bucket;
-use coordination::messages::{Ask, Class, Held, Hello, Seq, Served, Usage, Verdict};
+use coordination::messages::{Ask, Class, Held, Hello, Seq, Totals, Usage, Verdict};
 use coordination::platform::{Change as ListChange, Entry, State, Watch};
 use coordination::prompt::Prompt;
 use coordination::retry::{decide, Action, Bounds, Budget, Failure, Reach};
@@ -668,7 +668,7 @@
     // Cause: each total was added in full instead of its increase.
     let (mut scheduler, _) = scheduler(1);
     let mut merge = |epoch, all, totals: &[(CustomerId, u64)]| {
-        scheduler.merge_served(&Served {
+        scheduler.merge_totals(&Totals {
             epoch: Epoch(epoch),
             all,
             totals: totals.to_vec(),
@@ -784,8 +784,8 @@
     let mut serve = |seq, customer| {
         scheduler.ask(now, session, ask(seq, customer, 0, 0));
         scheduler.done(now, session, Seq(seq), 10, Verdict::Fine);
-        let served = scheduler.take_served();
-        (served.all, served.totals)
+        let service = scheduler.take_totals();
+        (service.all, service.totals)
     };
     assert_eq!(serve(1, CUSTOMER_A), (true, vec![(CUSTOMER_A, 10_000)]));
     assert_eq!(serve(2, CUSTOMER_B), (false, vec![(CUSTOMER_B, 10_000)]));
--- a/components/coordination/tests/dispatcher.rs
+++ b/components/coordination/tests/dispatcher.rs
@@ -168,7 +168,7 @@
     let mut dispatcher = dispatcher();
     let (_, sent) = arrive(&mut dispatcher, &view(1), 1);
     let seq = asked(&sent);
-    dispatcher.follow(Millis(1), &view(2));
+    dispatcher.update_view(Millis(1), &view(2));
     dispatcher.tick(Millis(1), &view(2));
     assert_eq!(dispatcher.grant(Millis(2), grant(1, seq)), []);
     assert_eq!(dispatcher.waiting(), 1);
@@ -245,7 +245,7 @@
             _ => None,
         })
     };
-    dispatcher.follow(Millis(500), &view(2));
+    dispatcher.update_view(Millis(500), &view(2));
     let hello = reports(&dispatcher.link_up(Millis(500), &name("s")));
     assert_eq!(spent(&hello).map(|k| (k.level, k.spent)), Some((0, 25_000)));
     // The hello repeats the spending until a grant shows that it was received.
@@ -254,7 +254,7 @@
     assert_eq!(spent(&again).map(|k| (k.level, k.spent)), Some((0, 25_000)));
     let (_, sent) = arrive(&mut dispatcher, &view(2), 2);
     dispatcher.grant(Millis(700), grant(2, asked(&sent)));
-    dispatcher.follow(Millis(800), &view(3));
+    dispatcher.update_view(Millis(800), &view(3));
     let third = reports(&dispatcher.tick(Millis(800), &view(3)));
     assert_eq!(spent(&third).map(|k| (k.level, k.spent)), Some((25_000, 0)));
 }
--- a/components/coordination/tests/endpoints/mod.rs
+++ b/components/coordination/tests/endpoints/mod.rs
@@ -6,7 +6,7 @@
 use state::listing::Entry;
 
 /// An endpoint with four slots.
-pub(crate) fn listed(name: &str, started_ms: Option<u64>, leaving: bool) -> Entry {
+pub(crate) fn entry(name: &str, started_ms: Option<u64>, leaving: bool) -> Entry {
     let text = |text: &str| Name::try_from(text).unwrap();
     Entry {
         leaving,
--- a/components/coordination/tests/evacuation.rs
+++ b/components/coordination/tests/evacuation.rs
@@ -66,7 +66,7 @@
 /// A dispatcher with a session and one request whose ask is unanswered.
 fn with_ask(view: &View) -> (Dispatcher, Handle, Seq) {
     let mut dispatcher = dispatcher();
-    dispatcher.follow(Millis(0), view);
+    dispatcher.update_view(Millis(0), view);
     let (handle, mut effects) = dispatcher
         .arrive(Millis(0), view, arrival(SERVICE))
         .unwrap();
@@ -81,7 +81,7 @@
     let mut view = view_of_two();
     let (mut dispatcher, _, seq) = with_ask(&view);
     set_evacuated(&mut view, "dc-2", true);
-    dispatcher.follow(Millis(2), &view);
+    dispatcher.update_view(Millis(2), &view);
     let effects = dispatcher.grant(Millis(3), grant(EPOCH, seq, REMOTE_ENDPOINT));
     assert_eq!(sent(&effects), None);
     assert!(is_returned(&effects, seq));
@@ -98,7 +98,7 @@
     let mut dispatcher = dispatcher();
     dispatcher.link_down(Millis(0), &name("s-0"));
     set_evacuated(&mut view, "dc-2", true);
-    dispatcher.follow(Millis(0), &view);
+    dispatcher.update_view(Millis(0), &view);
     let mut used = Vec::new();
     for n in 0..6 {
         let now = Millis(LOCAL_AFTER_MS + n);
@@ -121,12 +121,12 @@
     let (mut dispatcher, handle, _) = with_ask(&view);
     set_evacuated(&mut view, "dc-1", true);
     set_evacuated(&mut view, "dc-2", true);
-    let effects = dispatcher.follow(Millis(2), &view);
-    assert!(effects.contains(&Effect::Unserved(handle)), "{effects:?}");
+    let effects = dispatcher.update_view(Millis(2), &view);
+    assert!(effects.contains(&Effect::NoEndpoint(handle)), "{effects:?}");
     let newcomer = dispatcher.arrive(Millis(3), &view, arrival(SERVICE));
     assert_eq!(newcomer.err(), Some(Rejection::NoEndpoint));
     set_evacuated(&mut view, "dc-1", false);
-    dispatcher.follow(Millis(4), &view);
+    dispatcher.update_view(Millis(4), &view);
     assert!(dispatcher
         .arrive(Millis(5), &view, arrival(SERVICE))
         .is_ok());
@@ -141,12 +141,12 @@
     assert_eq!(sent(&effects), Some(REMOTE_ENDPOINT));
     set_evacuated(&mut view, "dc-1", true);
     set_evacuated(&mut view, "dc-2", true);
-    let effects = dispatcher.follow(Millis(3), &view);
+    let effects = dispatcher.update_view(Millis(3), &view);
     assert!(
-        !effects.contains(&Effect::Unserved(handle)),
+        !effects.contains(&Effect::NoEndpoint(handle)),
         "the request is in progress"
     );
     dispatcher.requeue(Millis(4), handle, Verdict::Failed);
     let effects = dispatcher.tick(Millis(5), &view);
-    assert!(effects.contains(&Effect::Unserved(handle)), "{effects:?}");
+    assert!(effects.contains(&Effect::NoEndpoint(handle)), "{effects:?}");
 }
--- a/components/coordination/tests/fleet/mod.rs
+++ b/components/coordination/tests/fleet/mod.rs
@@ -436,7 +436,7 @@
                     };
                     self.dispatch(execution, endpoint.0 as usize);
                 }
-                Effect::Expire(_) | Effect::Refuse(..) | Effect::Unserved(_) => {}
+                Effect::Expire(_) | Effect::Refuse(..) | Effect::NoEndpoint(_) => {}
             }
         }
     }
@@ -704,7 +704,7 @@
         };
         self.view.apply_step(&step);
         for n in 0..self.routers.len() {
-            let effects = self.routers[n].dispatcher.follow(now, &self.view);
+            let effects = self.routers[n].dispatcher.update_view(now, &self.view);
             self.apply(n, effects);
             let effects = self.routers[n].dispatcher.link_up(now, &vm);
             self.apply(n, effects);
@@ -718,7 +718,7 @@
         Report::Hello(hello) => 12 + 12 * hello.held.len() as u64 + 8 * hello.usage.len() as u64,
         Report::Ask(_) => 14,
         Report::Withdraw(_) | Report::Return(_) => 3,
-        Report::Progress(..) | Report::Began(..) => 5,
+        Report::Progress(..) | Report::FirstByte(..) => 5,
         Report::Done(..) => 6,
         Report::Backoff(_) => 9,
     }
--- a/components/coordination/tests/listing.rs
+++ b/components/coordination/tests/listing.rs
@@ -8,8 +8,8 @@
 use state::listing::{Entry, Listing};
 
 /// An entry of the list.
-fn listed(name: &str, leaving: bool) -> Entry {
-    endpoints::listed(name, None, leaving)
+fn entry(name: &str, leaving: bool) -> Entry {
+    endpoints::entry(name, None, leaving)
 }
 
 /// Names of the endpoints, with a `!` after those that drain.
@@ -26,16 +26,12 @@
     // the endpoint.
     // Cause: an endpoint is removed after a single reading without it.
     let mut registry = Registry::default();
-    assert!(registry.apply_reading(Millis(0), vec![listed("a", false), listed("b", false)], 1));
-    assert!(!registry.apply_reading(Millis(500), vec![listed("a", false)], 2));
+    assert!(registry.apply_reading(Millis(0), vec![entry("a", false), entry("b", false)], 1));
+    assert!(!registry.apply_reading(Millis(500), vec![entry("a", false)], 2));
     assert_eq!(names(&registry), ["a", "b"]);
-    assert!(!registry.apply_reading(
-        Millis(1000),
-        vec![listed("a", false), listed("b", false)],
-        3
-    ));
+    assert!(!registry.apply_reading(Millis(1000), vec![entry("a", false), entry("b", false)], 3));
     for n in 1..=u64::from(MISSING_READINGS_MAX) {
-        registry.apply_reading(Millis(1000 + 500 * n), vec![listed("a", false)], 3 + n);
+        registry.apply_reading(Millis(1000 + 500 * n), vec![entry("a", false)], 3 + n);
     }
     assert_eq!(names(&registry), ["a"]);
 }
@@ -47,10 +43,10 @@
     // over and reports that it does not.
     // Cause: the last reading replaces what was known before.
     let mut registry = Registry::default();
-    registry.apply_reading(Millis(0), vec![listed("a", true), listed("b", false)], 1);
+    registry.apply_reading(Millis(0), vec![entry("a", true), entry("b", false)], 1);
     let older = Listing {
         id: 7,
-        endpoints: vec![listed("a", false), listed("b", false)],
+        endpoints: vec![entry("a", false), entry("b", false)],
     };
     registry.apply_listing(Millis(100), older);
     assert_eq!(names(&registry), ["a!", "b"]);
@@ -59,8 +55,8 @@
 #[test]
 fn removes_a_draining_endpoint_at_the_first_reading_without_it() {
     let mut registry = Registry::default();
-    registry.apply_reading(Millis(0), vec![listed("a", true), listed("b", false)], 1);
-    assert!(registry.apply_reading(Millis(500), vec![listed("b", false)], 2));
+    registry.apply_reading(Millis(0), vec![entry("a", true), entry("b", false)], 1);
+    assert!(registry.apply_reading(Millis(500), vec![entry("b", false)], 2));
     assert_eq!(names(&registry), ["b"]);
 }
 
@@ -72,7 +68,7 @@
     let mut leader = Registry::default();
     let mut other = Registry::default();
     assert!(leader.is_due(Millis(500), 500));
-    leader.apply_reading(Millis(500), vec![listed("a", false)], 1);
+    leader.apply_reading(Millis(500), vec![entry("a", false)], 1);
     other.apply_listing(Millis(505), (**leader.listing()).clone());
     assert!(!other.is_due(Millis(1500), 1100));
     assert!(other.confirm(Millis(1005), 1));
@@ -111,7 +107,7 @@
 fn follows_a_list_by_its_changes() {
     let all = |leaving: &[bool]| -> Vec<Entry> {
         let each = leaving.iter().enumerate();
-        each.map(|(n, leaving)| listed(&format!("e-{n}"), *leaving))
+        each.map(|(n, leaving)| entry(&format!("e-{n}"), *leaving))
             .collect()
     };
     let mut reader = Registry::default();
@@ -153,11 +149,11 @@
     let mut other = Registry::default();
     let cold = |cold_ms| Entry {
         cold_ms,
-        ..listed("a", false)
+        ..entry("a", false)
     };
-    reader.apply_reading(Millis(0), vec![cold(0), listed("b", false)], 1);
+    reader.apply_reading(Millis(0), vec![cold(0), entry("b", false)], 1);
     other.apply_change(Millis(0), &reader.export_change(Millis(0)));
-    assert!(reader.apply_reading(Millis(500), vec![cold(3000), listed("b", false)], 2));
+    assert!(reader.apply_reading(Millis(500), vec![cold(3000), entry("b", false)], 2));
     let change = reader.export_change(Millis(700));
     assert_eq!(change.set.len(), 1);
     assert_eq!(other.apply_change(Millis(700), &change), Some(true));
--- a/components/coordination/tests/load.rs
+++ b/components/coordination/tests/load.rs
@@ -174,13 +174,13 @@
         for engine in self.engines.values_mut() {
             let progress = engine.step(self.now_ms).into_iter();
             reports.extend(progress.map(|progress| match progress {
-                Progress::FirstEvent(seq) => Report::Began(seq, NO_REPORT_DELAY),
+                Progress::FirstEvent(seq) => Report::FirstByte(seq, NO_REPORT_DELAY),
                 Progress::Ended(seq) => Report::Done(seq, 5000, Verdict::Fine),
             }));
         }
         for report in reports {
             match &report {
-                Report::Began(seq, _) => {
+                Report::FirstByte(seq, _) => {
                     let job = &self.jobs[seq];
                     let tally = self.tallies.get_mut(&job.customer).unwrap();
                     if self.now_ms - job.arrived_ms <= u64::from(AIM_MS) {
--- a/components/coordination/tests/pressure.rs
+++ b/components/coordination/tests/pressure.rs
@@ -64,7 +64,8 @@
     );
     assert!(granted(&scheduler.handle_report(now, session, ask(2, 8000, 900))).is_empty());
     assert!(granted(&scheduler.handle_report(now, session, ask(3, 400, 400))).is_empty());
-    let effects = scheduler.handle_report(Millis(1200), session, Report::Began(Seq(1), NO_DELAY));
+    let effects =
+        scheduler.handle_report(Millis(1200), session, Report::FirstByte(Seq(1), NO_DELAY));
     assert_eq!(granted(&effects)[0], 3);
 }
 
@@ -82,7 +83,8 @@
         scheduler.tick(Millis(tick));
     }
     scheduler.handle_report(Millis(1250), session, ask(3, 2000, 400));
-    let effects = scheduler.handle_report(Millis(1350), session, Report::Began(Seq(1), NO_DELAY));
+    let effects =
+        scheduler.handle_report(Millis(1350), session, Report::FirstByte(Seq(1), NO_DELAY));
     assert_eq!(granted(&effects), [3]);
 }
 
@@ -108,7 +110,7 @@
         effects.extend(scheduler.handle_report(
             Millis(now),
             session,
-            Report::Began(Seq(old), NO_DELAY),
+            Report::FirstByte(Seq(old), NO_DELAY),
         ));
         for effect in effects {
             if let Effect::Refuse(_, refusal) = effect {
@@ -159,7 +161,7 @@
         expected = u64::from(grant.forecast.first_ms);
         let took_ms = 4 + 110 + u64::from(tokens) / 44;
         let first = Millis(now + took_ms);
-        scheduler.handle_report(first, session, Report::Began(Seq(seq), NO_DELAY));
+        scheduler.handle_report(first, session, Report::FirstByte(Seq(seq), NO_DELAY));
         scheduler.handle_report(first, session, Report::Done(Seq(seq), 10, Verdict::Fine));
     }
     // The last request had 6,600 tokens.
@@ -238,7 +240,7 @@
         };
         expected = u64::from(grant.forecast.first_ms);
         let received = Millis(now + 260 + 500);
-        scheduler.handle_report(received, session, Report::Began(Seq(seq), Some(260)));
+        scheduler.handle_report(received, session, Report::FirstByte(Seq(seq), Some(260)));
         scheduler.handle_report(received, session, Report::Done(Seq(seq), 10, Verdict::Fine));
     }
     assert!(expected.abs_diff(262) < 15, "{expected}");
@@ -260,7 +262,7 @@
         let now = 1000 + seq * 2000;
         scheduler.handle_report(Millis(now), session, ask(seq, 6600, 800));
         let received = Millis(now + 1500);
-        scheduler.handle_report(received, session, Report::Began(Seq(seq), None));
+        scheduler.handle_report(received, session, Report::FirstByte(Seq(seq), None));
         scheduler.handle_report(received, session, Report::Done(Seq(seq), 10, Verdict::Fine));
     }
     assert_eq!(scheduler.summary().slowest_tokens_per_s, before);
--- a/components/coordination/tests/region/simulation.rs
+++ b/components/coordination/tests/region/simulation.rs
@@ -16,7 +16,7 @@
 use coordination::dispatcher::{
     endpoints, Arrival, Bounds, Dispatcher, Effect, Handle, Location, Rejection,
 };
-use coordination::messages::{Class, Grant, Refusal, Report, Served, Verdict};
+use coordination::messages::{Class, Grant, Refusal, Report, Totals, Verdict};
 use coordination::prompt::Prompt;
 use coordination::regions::Regions;
 use coordination::scheduler::{Effect as Decision, Scheduler, Session};
@@ -77,7 +77,7 @@
     /// To a router.
     Refusal(usize, Refusal),
     /// To a scheduler, from another scheduler.
-    Served(usize, Served),
+    Totals(usize, Totals),
 }
 
 /// A scheduler, its sessions and the messages that it has not handled.
@@ -152,8 +152,8 @@
             scheduler
                 .slots()
                 .set_memory_tokens(Some(ENGINE_MEMORY_TOKENS));
-            for (id, slots, lead, leaving) in endpoints(&view, &assignment.shard) {
-                scheduler.slots().set(id, slots, lead, leaving);
+            for (id, slots, prefetch, leaving) in endpoints(&view, &assignment.shard) {
+                scheduler.slots().set(id, slots, prefetch, leaving);
             }
             Shard {
                 scheduler,
@@ -393,7 +393,7 @@
                     self.keep_connection(index, request.customer);
                     self.reject(request, refusal.after_ms);
                 }
-                Effect::Expire(handle) | Effect::Unserved(handle) => {
+                Effect::Expire(handle) | Effect::NoEndpoint(handle) => {
                     let request = self.routers[index].requests.remove(&handle).unwrap();
                     self.reject(request, 300);
                 }
@@ -440,20 +440,20 @@
         for n in 0..self.shards.len() {
             let decisions = self.shards[n].scheduler.tick(now);
             self.apply_decisions(n, decisions);
-            self.share_served(n);
+            self.share_totals(n);
         }
     }
 
     /// Sends the service granted by a scheduler to all others, once a second and at a different
     /// time for each scheduler.
-    fn share_served(&mut self, n: usize) {
+    fn share_totals(&mut self, n: usize) {
         let phase = 1000 * n / self.shards.len() / 20 * 20;
         if self.now_ms % 1000 != phase as u64 || self.shards.len() == 1 {
             return;
         }
-        let served = self.shards[n].scheduler.take_served();
+        let totals = self.shards[n].scheduler.take_totals();
         for other in (0..self.shards.len()).filter(|other| *other != n) {
-            self.send(Message::Served(other, served.clone()));
+            self.send(Message::Totals(other, totals.clone()));
         }
     }
 
@@ -503,7 +503,7 @@
                     Some(_) => self.enqueue(index, Task::Refusal(refusal)),
                     None => self.handle_refusal(index, refusal),
                 },
-                Message::Served(n, served) => self.shards[n].scheduler.merge_served(&served),
+                Message::Totals(n, totals) => self.shards[n].scheduler.merge_totals(&totals),
             }
         }
     }
--- a/components/coordination/tests/regions.rs
+++ b/components/coordination/tests/regions.rs
@@ -43,7 +43,7 @@
     for n in 0..REGIONS.len() {
         dispatcher.link_up(Millis(0), &name(&format!("s-{n}")));
     }
-    dispatcher.follow(Millis(0), view);
+    dispatcher.update_view(Millis(0), view);
     dispatcher
 }
 
@@ -151,9 +151,9 @@
     let mut router = router(&view, "east");
     let (handle, _) = arrive(&mut router, &view, region_set(&["west"]));
     view.leaving.insert(EndpointId(3));
-    let effects = router.follow(Millis(5), &view);
+    let effects = router.update_view(Millis(5), &view);
     assert_eq!(asked_regions(&effects), [""; 0]);
-    assert!(effects.contains(&Effect::Unserved(handle)), "{effects:?}");
+    assert!(effects.contains(&Effect::NoEndpoint(handle)), "{effects:?}");
     let newcomer = router.arrive(Millis(6), &view, arrival(region_set(&["west"])));
     assert_eq!(newcomer.err(), Some(Rejection::NoEndpoint));
     let other = router.arrive(Millis(6), &view, arrival(region_set(&["west", "north"])));
--- a/components/coordination/tests/restart.rs
+++ b/components/coordination/tests/restart.rs
@@ -18,8 +18,8 @@
 /// Identity and tokens of a prompt part that many requests share.
 const SHARED: (u64, u32) = (7, 12_000);
 
-fn listed(started_ms: u64, leaving: bool) -> Entry {
-    endpoints::listed("a", Some(started_ms), leaving)
+fn entry(started_ms: u64, leaving: bool) -> Entry {
+    endpoints::entry("a", Some(started_ms), leaving)
 }
 
 /// A scheduler of two engines, the first of which has cached the shared part.
@@ -59,10 +59,10 @@
     // Sequence: the endpoint leaves, ends, and restarts under its name.
     // Cause: endpoints were identified by their name alone.
     let mut registry = Registry::default();
-    registry.apply_reading(Millis(0), vec![listed(1000, false)], 1);
+    registry.apply_reading(Millis(0), vec![entry(1000, false)], 1);
     let before = registry.listing().endpoints[0].id();
-    registry.apply_reading(Millis(500), vec![listed(1000, true)], 2);
-    registry.apply_reading(Millis(1000), vec![listed(2000, false)], 3);
+    registry.apply_reading(Millis(500), vec![entry(1000, true)], 2);
+    registry.apply_reading(Millis(1000), vec![entry(2000, false)], 3);
     let now = &registry.listing().endpoints;
     assert_eq!(now.len(), 1);
     assert_ne!(now[0].id(), before);
@@ -72,12 +72,12 @@
 #[test]
 fn an_outdated_list_does_not_restore_an_earlier_run() {
     let mut registry = Registry::default();
-    registry.apply_reading(Millis(0), vec![listed(2000, false)], 1);
-    assert!(!registry.apply_reading(Millis(500), vec![listed(1000, false)], 2));
+    registry.apply_reading(Millis(0), vec![entry(2000, false)], 1);
+    assert!(!registry.apply_reading(Millis(500), vec![entry(1000, false)], 2));
     assert_eq!(registry.listing().endpoints[0].started_ms, Some(2000));
     assert!(!registry.apply_reading(
         Millis(1000),
-        vec![listed(1000, false), listed(2000, false)],
+        vec![entry(1000, false), entry(2000, false)],
         3
     ));
 }
--- a/components/coordination/tests/selection.rs
+++ b/components/coordination/tests/selection.rs
@@ -43,7 +43,7 @@
         bytes: u64::MAX,
     };
     let mut dispatcher = Dispatcher::new(location, bounds);
-    dispatcher.follow(Millis(0), view);
+    dispatcher.update_view(Millis(0), view);
     for n in 0..CENTRES {
         dispatcher.link_up(Millis(0), &name(&format!("s-{n}")));
     }
@@ -308,7 +308,7 @@
     divided.assignments.clear();
     let all = shards(&divided);
     views::assign(&mut divided, all, 20);
-    let mut effects = router.follow(Millis(20), &divided);
+    let mut effects = router.update_view(Millis(20), &divided);
     effects.extend(router.tick(Millis(40), &divided));
     for n in 0..CENTRES {
         effects.extend(router.link_up(Millis(50), &name(&format!("s-{n}"))));
--- a/components/coordination/tests/views/mod.rs
+++ b/components/coordination/tests/views/mod.rs
@@ -13,7 +13,7 @@
     Name::try_from(text).unwrap()
 }
 
-pub(crate) fn place(vm: &str) -> Node {
+pub(crate) fn node(vm: &str) -> Node {
     Node {
         vm: name(vm),
         address: "127.0.0.1:7001".parse().unwrap(),
@@ -60,7 +60,7 @@
     for (n, shard) in (0..).zip(shards) {
         view.assignments.push(Assignment {
             shard,
-            node: place(&format!("s-{n}")),
+            node: node(&format!("s-{n}")),
             epoch: Epoch(epoch + n),
         });
     }
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -211,7 +211,7 @@
             if now.since(last_tick) >= TICK_INTERVAL.as_millis() as u64 {
                 last_tick = now;
                 self.core.tick(now);
-                self.lead(now);
+                self.act_as_leader(now);
             }
             self.process_ready()?;
         }
@@ -222,7 +222,7 @@
         let now = self.parts.clock.now();
         match input {
             Input::Up(hello) => {
-                self.nodes.insert(hello.place.vm.clone(), hello.place);
+                self.nodes.insert(hello.node.vm.clone(), hello.node);
             }
             Input::Down(vm) => {
                 self.nodes.remove(&vm);
@@ -370,7 +370,7 @@
     }
 
     /// Performs the leader's work: expires suspicions and assigns schedulers.
-    fn lead(&mut self, now: Millis) {
+    fn act_as_leader(&mut self, now: Millis) {
         let leads = self.core.role() == Role::Leader;
         if leads != self.was_leader {
             self.was_leader = leads;
@@ -431,7 +431,7 @@
         };
         self.parts
             .journal
-            .note(Event::new(step).version(Version(term)));
+            .record(Event::new(step).version(Version(term)));
     }
 
     /// Tells waiting callers to ask the next leader. Their records may still be committed; the IDs
--- a/components/node/src/dissemination.rs
+++ b/components/node/src/dissemination.rs
@@ -320,7 +320,7 @@
         true
     }
 
-    /// Handles a heartbeat of a root (`Message::VersionProof`) from the parent, and passes it on to
+    /// Handles a heartbeat of a root (`Message::RootHeartbeat`) from the parent, and passes it on to
     /// children.
     pub(crate) fn handle_root_heartbeat(
         &mut self,
@@ -339,7 +339,7 @@
         }
         self.last_heartbeat_at = Some(now);
         for child in self.tree.children() {
-            hub.send(child, Message::VersionProof(head));
+            hub.send(child, Message::RootHeartbeat(head));
         }
     }
 
@@ -354,7 +354,7 @@
         version: Version,
     ) -> bool {
         let Hello {
-            place, data_centre, ..
+            node, data_centre, ..
         } = peer;
         if matches!(
             self.position,
@@ -363,23 +363,23 @@
                 ..
             }
         ) {
-            self.redirect(hub, &place.vm);
+            self.redirect(hub, &node.vm);
             return false;
         }
-        let vm = place.vm.clone();
+        let vm = node.vm.clone();
         let was_child = self.has_child(&vm);
         if let Some(nearer) = self.nearer_root(now, hub, &vm, &data_centre) {
             hub.send(&vm, Message::Redirect(nearer));
             return false;
         }
-        if let Attachment::Redirect(other) = self.tree.attach(place, &data_centre, version) {
+        if let Attachment::Redirect(other) = self.tree.attach(node, &data_centre, version) {
             hub.send(&vm, Message::Redirect(other));
             return false;
         }
         let first = self.history.front().map(|s| s.version.0);
         let is_in_history = first.is_some_and(|first| first <= version.0 + 1);
         let message = if version >= view.version {
-            Message::VersionProof(view.version)
+            Message::RootHeartbeat(view.version)
         } else if is_in_history {
             let missed = self.history.iter().filter(|s| s.version > version);
             Message::Updates(missed.cloned().collect())
@@ -412,11 +412,11 @@
             return None;
         }
         let peers = hub.peers();
-        let is_near = |p: &&Hello| p.data_centre == *data_centre && p.place.vm != *vm;
+        let is_near = |p: &&Hello| p.data_centre == *data_centre && p.node.vm != *vm;
         let mut near = peers.iter().filter(is_near);
-        let control = near.find(|p| self.seeds.iter().any(|s| s.vm == p.place.vm))?;
+        let control = near.find(|p| self.seeds.iter().any(|s| s.vm == p.node.vm))?;
         self.redirected.insert(vm.clone(), now);
-        Some(control.place.clone())
+        Some(control.node.clone())
     }
 
     /// Unsubscribes from a node that is not the parent but still sends the view.
@@ -502,7 +502,7 @@
                 if *has_leader && now >= *heartbeat_at {
                     *heartbeat_at = now.after(ROOT_HEARTBEAT_INTERVAL_MS);
                     for child in self.tree.children() {
-                        hub.send(child, Message::VersionProof(version));
+                        hub.send(child, Message::RootHeartbeat(version));
                     }
                 }
             }
--- a/components/node/src/frontend/access_log.rs
+++ b/components/node/src/frontend/access_log.rs
@@ -28,7 +28,7 @@
 pub(crate) struct Entry {
     id: RequestId,
     /// Identity that the caller gave the request.
-    identity: Option<HeaderValue>,
+    caller_request_id: Option<HeaderValue>,
     arrived_at: Instant,
     metrics: Metrics,
     /// Version of the view that the request was routed by.
@@ -82,7 +82,7 @@
         Entry {
             id,
             metrics,
-            identity: None,
+            caller_request_id: None,
             arrived_at,
             version: published.view.version.0,
             release: published.view.release,
@@ -99,14 +99,14 @@
         }
     }
 
-    /// The router's identity for the request.
+    /// The router's ID for the request.
     pub(crate) fn id(&self) -> RequestId {
         self.id
     }
 
-    /// Records the identity that the caller gave the request.
-    pub(crate) fn set_identity(&mut self, identity: Option<HeaderValue>) {
-        self.identity = identity;
+    /// Records the ID that the caller gave the request.
+    pub(crate) fn set_caller_request_id(&mut self, caller_request_id: Option<HeaderValue>) {
+        self.caller_request_id = caller_request_id;
     }
 
     /// Records the rule that matched, and the service and customer that follow from it.
@@ -247,10 +247,12 @@
         );
     }
 
-    /// The caller's identity for the request; empty without one or if it is not text.
+    /// The caller's ID for the request; empty without one or if it is not text.
     fn caller(&self) -> &str {
-        let identity = self.identity.as_ref();
-        identity.and_then(|i| i.to_str().ok()).unwrap_or("")
+        let caller_request_id = self.caller_request_id.as_ref();
+        caller_request_id
+            .and_then(|i| i.to_str().ok())
+            .unwrap_or("")
     }
 }
 
--- a/components/node/src/frontend/admit.rs
+++ b/components/node/src/frontend/admit.rs
@@ -46,7 +46,7 @@
     if let Ok(inbound) = &inbound {
         // Set before any check, so that the log line of a refused request has the caller's
         // identity.
-        entry.set_identity(inbound.identity.clone());
+        entry.set_caller_request_id(inbound.request_id.clone());
     }
     check_ready(published)?;
     check_lateness(frontend, entry.id())?;
@@ -185,7 +185,7 @@
 pub(super) async fn read_body(
     frontend: &Frontend,
     id: RequestId,
-    identity: Option<HeaderValue>,
+    request_id: Option<HeaderValue>,
     head: Parts,
     mut body: Incoming,
 ) -> Result<Call, Refusal> {
@@ -211,7 +211,7 @@
     };
     Ok(Call {
         id,
-        identity,
+        request_id,
         customer: None,
         method: head.method,
         uri: head.uri,
--- a/components/node/src/frontend/claim.rs
+++ b/components/node/src/frontend/claim.rs
@@ -87,7 +87,7 @@
     match tokio::time::timeout(wait, &mut receiver).await {
         Ok(Ok(Reply::Answer(Answer::Claimed))) => {
             let event = Event::new(Kind::Claimed).request(call.id);
-            frontend.context.journal.note(event.customer(customer));
+            frontend.context.journal.record(event.customer(customer));
             Ok(Claimed::New(claim))
         }
         Ok(Ok(Reply::Answer(Answer::AlreadyClaimed(first, resolution)))) => {
--- a/components/node/src/frontend/delivery.rs
+++ b/components/node/src/frontend/delivery.rs
@@ -61,7 +61,7 @@
         if !self
             .frontend
             .context
-            .verdicts
+            .suspicions
             .borrow()
             .contains(&self.fingerprint)
         {
@@ -71,7 +71,7 @@
             .frontend
             .context
             .reactor
-            .send(Input::Cleared(completion));
+            .send(Input::Completed(completion));
     }
 }
 
@@ -88,8 +88,8 @@
     ///
     /// The refusal, if the request is in quarantine.
     pub(crate) fn check_quarantine(&self, call: &Call) -> Result<(), Refusal> {
-        let verdicts = self.context.verdicts.borrow();
-        if verdicts.is_empty() || !verdicts.is_quarantined(&call.fingerprint()) {
+        let suspicions = self.context.suspicions.borrow();
+        if suspicions.is_empty() || !suspicions.is_quarantined(&call.fingerprint()) {
             return Ok(());
         }
         Err(quarantined())
@@ -97,8 +97,8 @@
 
     /// Waits until a request is put into quarantine.
     pub(crate) async fn until_quarantined(&self, call: &Call) {
-        let mut verdicts = self.context.verdicts.clone();
-        let found = verdicts.wait_for(|v| !v.is_empty() && v.is_quarantined(&call.fingerprint()));
+        let mut suspicions = self.context.suspicions.clone();
+        let found = suspicions.wait_for(|v| !v.is_empty() && v.is_quarantined(&call.fingerprint()));
         if found.await.is_err() {
             // The reactor has ended, so this process is ending too.
             std::future::pending::<()>().await;
--- a/components/node/src/frontend/listen.rs
+++ b/components/node/src/frontend/listen.rs
@@ -81,7 +81,7 @@
     /// Configuration and state that the reactor publishes.
     pub(crate) published: watch::Receiver<Published>,
     /// Requests that may crash endpoints, and which of them are in quarantine.
-    pub(crate) verdicts: watch::Receiver<Arc<Suspicions>>,
+    pub(crate) suspicions: watch::Receiver<Arc<Suspicions>>,
 }
 
 /// HTTP server for callers: state that all connections and requests share.
--- a/components/node/src/frontend/relay.rs
+++ b/components/node/src/frontend/relay.rs
@@ -60,7 +60,7 @@
             Verdict::Cancelled => Kind::CallerGone,
             Verdict::Fine | Verdict::Failed | Verdict::Error => Kind::Ended,
         };
-        self.journal.note(Event::new(kind).request(self.id));
+        self.journal.record(Event::new(kind).request(self.id));
         let done = Input::Done(self.handle, self.meter.units(), self.verdict);
         // Sending fails only at the end of this process.
         let _ = self.reactor.send(done);
--- a/components/node/src/frontend/serve.rs
+++ b/components/node/src/frontend/serve.rs
@@ -81,7 +81,7 @@
             count_answer(&frontend, refusal.outcome, refusal.status);
             if frontend.should_log(&refusal) {
                 let event = Event::new(Kind::Refused).request(id);
-                frontend.context.journal.note(event);
+                frontend.context.journal.record(event);
                 entry.log_refusal(&refusal);
             } else {
                 entry.count_refusal(&refusal);
@@ -152,12 +152,15 @@
     frontend
         .context
         .journal
-        .note(Event::new(Kind::Taken).request(id));
-    let mut call = read_body(frontend, id, inbound.identity.clone(), head, body).await?;
+        .record(Event::new(Kind::Taken).request(id));
+    let mut call = read_body(frontend, id, inbound.request_id.clone(), head, body).await?;
     let plan = plan(frontend, published, &inbound, &mut call)?;
     entry.set_plan(&plan, call.customer.clone());
     let event = Event::new(Kind::Taken).request(id);
-    frontend.context.journal.note(event.customer(plan.customer));
+    frontend
+        .context
+        .journal
+        .record(event.customer(plan.customer));
     let key = call.headers.get("idempotency-key").cloned();
     let mut claimed = None;
     if let Some(key) = key.filter(|_| !plan.idempotent) {
@@ -185,7 +188,7 @@
     fn drop(&mut self) {
         if let Some(handle) = self.handle {
             let event = Event::new(Kind::CallerGone).request(self.id);
-            self.frontend.context.journal.note(event);
+            self.frontend.context.journal.record(event);
             let _ = self.frontend.context.reactor.send(Input::Cancel(handle));
         }
     }
@@ -326,7 +329,7 @@
     frontend
         .context
         .journal
-        .note(event.endpoint(dispatch.endpoint));
+        .record(event.endpoint(dispatch.endpoint));
 }
 
 impl Frontend {
@@ -414,7 +417,7 @@
     frontend
         .context
         .journal
-        .note(Event::new(Kind::Queued).request(call.id));
+        .record(Event::new(Kind::Queued).request(call.id));
     let decision = tokio::select! {
         biased;
         () = frontend.until_quarantined(call) => return Err(quarantined()),
@@ -427,7 +430,7 @@
             frontend
                 .context
                 .journal
-                .note(event.endpoint(dispatch.endpoint));
+                .record(event.endpoint(dispatch.endpoint));
             Ok(dispatch)
         }
         Ok(Decision::Refused(refused)) => {
--- a/components/node/src/frontend/upstream.rs
+++ b/components/node/src/frontend/upstream.rs
@@ -1,6 +1,6 @@
 //! Client side of the frontend: one try of one request at one endpoint.
 //!
-//! An answer is matched to its request by the identity in its head, not only by the connection:
+//! An answer is matched to its request by the ID in its head, not only by the connection:
 //! on a reused connection, a late second answer to an earlier request can arrive.
 
 use super::pool::{self, Connection, Pool};
@@ -38,8 +38,8 @@
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) id: RequestId,
-    /// Identity that the caller gave the request.
-    pub(crate) identity: Option<HeaderValue>,
+    /// ID that the caller gave the request.
+    pub(crate) request_id: Option<HeaderValue>,
     /// Customer whose key the request has.
     pub(crate) customer: Option<Name>,
     pub(crate) method: Method,
@@ -175,7 +175,7 @@
 ) -> Result<Answer, Failure> {
     let (head, body) = response.into_parts();
     let Signals {
-        identity,
+        request_id,
         not_run,
         is_authentic,
         is_leaving,
@@ -192,10 +192,10 @@
     };
     let own_id = call.id.to_string();
     let expected = call
-        .identity
+        .request_id
         .as_ref()
         .map_or(own_id.as_bytes(), |i| i.as_bytes());
-    if identity.is_some_and(|i| i.as_bytes() != expected) {
+    if request_id.is_some_and(|i| i.as_bytes() != expected) {
         // An endpoint that mixes up its answers would otherwise deliver another caller's answer
         // to this one.
         let error = bad_answer("it bears the identity of another request");
@@ -267,7 +267,7 @@
         headers.remove(CONTENT_LENGTH);
         headers.remove(EXPECT);
         let outbound = Outbound {
-            identity: &self.id.to_string(),
+            request_id: &self.id.to_string(),
             endpoint: &dispatch.name,
             customer: self.customer.as_ref(),
             time_left: remaining,
--- a/components/node/src/input.rs
+++ b/components/node/src/input.rs
@@ -93,7 +93,7 @@
     /// An endpoint closed its connection during a request.
     Crashed(Crash),
     /// An endpoint has answered a suspected request completely.
-    Cleared(Completion),
+    Completed(Completion),
     /// A query to the control VMs.
     Query(Query, oneshot::Sender<Reply>),
     /// An endpoint reported its load.
--- a/components/node/src/interface.rs
+++ b/components/node/src/interface.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Inbound {
     /// ID that the caller gave the request.
-    pub identity: Option<HeaderValue>,
+    pub request_id: Option<HeaderValue>,
     /// Hash of the customer's key.
     pub key: Option<Hash>,
     /// Service that the caller asks for.
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug)]
 pub struct Outbound<'a> {
     /// ID that the router gave the request, for requests without one from the caller.
-    pub identity: &'a str,
+    pub request_id: &'a str,
     /// Endpoint that the request is sent to.
     pub endpoint: &'a Name,
     /// Customer whose key the request contained.
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Signals {
     /// ID of the request that is answered.
-    pub identity: Option<HeaderValue>,
+    pub request_id: Option<HeaderValue>,
     /// Whether the endpoint states that it has not run the request.
     pub not_run: bool,
     /// Whether the response can come from an endpoint, rather than from a proxy before it.
@@ -94,7 +94,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Contents {
     /// When the engine started, in Unix milliseconds.
-    pub born: Option<u64>,
+    pub started_ms: Option<u64>,
     /// Cached parts of prompts.
     pub parts: Vec<Part>,
 }
@@ -177,15 +177,15 @@
             headers.insert(COPY_FROM, address);
         }
     }
-    if let Ok(identity) = HeaderValue::from_str(outbound.identity) {
-        headers.insert(REQUEST_ID, identity);
+    if let Ok(request_id) = HeaderValue::from_str(outbound.request_id) {
+        headers.insert(REQUEST_ID, request_id);
     }
 }
 
 /// Parses the head of a response of an endpoint with the native interface.
 fn native_response(head: &response::Parts) -> Signals {
     Signals {
-        identity: head.headers.get(REQUEST_ID).cloned(),
+        request_id: head.headers.get(REQUEST_ID).cloned(),
         not_run: false,
         is_authentic: true,
         is_leaving: head.headers.contains_key(LEAVING),
@@ -224,7 +224,8 @@
         #[serde(default)]
         leaving: bool,
         #[serde(default)]
-        born: Option<u64>,
+        #[serde(rename = "born")]
+        started_ms: Option<u64>,
         #[serde(default)]
         cold_ms: u32,
     }
@@ -237,7 +238,7 @@
     let read: Rows = serde_json::from_slice(page).map_err(|e| e.to_string())?;
     let endpoints = read.endpoints.into_iter().map(|row| Entry {
         leaving: row.leaving,
-        started_ms: row.born,
+        started_ms: row.started_ms,
         cold_ms: row.cold_ms,
         endpoint: state::config::Endpoint {
             region: region(regions, &row.data_centre),
--- a/components/node/src/journal.rs
+++ b/components/node/src/journal.rs
@@ -52,7 +52,7 @@
     }
 
     /// Stamps an event and stores it, in place of the oldest one if the buffer is full.
-    pub fn note(&self, mut event: Event) -> Stamp {
+    pub fn record(&self, mut event: Event) -> Stamp {
         let mut ring = self.ring();
         event.stamp = self.clock.stamp();
         let stamp = event.stamp;
--- a/components/node/src/metric.rs
+++ b/components/node/src/metric.rs
@@ -88,7 +88,7 @@
     /// Grants sent by the schedulers of this VM.
     pub(crate) grants: IntCounter,
     /// Grants that routers returned.
-    pub(crate) returns: IntCounter,
+    pub(crate) returned_grants: IntCounter,
     /// Slots, routers, and running and waiting requests of the shards that are scheduled here.
     pub(crate) slots: IntGaugeVec,
     /// Virtual service of customers in the shards that are scheduled here.
@@ -245,7 +245,7 @@
                 "cowslipford_grants_total",
                 "Grants given by schedulers here.",
             )?,
-            returns: counter(
+            returned_grants: counter(
                 "cowslipford_returns_total",
                 "Grants that routers gave back.",
             )?,
--- a/components/node/src/operators.rs
+++ b/components/node/src/operators.rs
@@ -136,9 +136,7 @@
             let hello = parts.hub.hello();
             json(
                 StatusCode::OK,
-                &parts
-                    .journal
-                    .dump(hello.place.vm.clone(), hello.incarnation),
+                &parts.journal.dump(hello.node.vm.clone(), hello.incarnation),
             )
         }
         (&Method::GET, "/names") => json(StatusCode::OK, &names(&published)),
@@ -182,7 +180,7 @@
     let own = parts.hub.hello().clone();
     let all = std::iter::once(own).chain(parts.hub.peers());
     let peers = all.map(|hello| Peer {
-        vm: hello.place.vm,
+        vm: hello.node.vm,
         incarnation: hello.incarnation,
         operators: hello.operator_address,
     });
--- a/components/node/src/process.rs
+++ b/components/node/src/process.rs
@@ -325,7 +325,7 @@
         let callers = listener.as_ref().and_then(|l| l.local_addr().ok());
         let (reactor, inputs) = flume::unbounded();
         let (publish, published) = watch::channel(Arc::new(Shared::default()));
-        let (publish_suspicions, verdicts) = watch::channel(Arc::default());
+        let (publish_suspicions, suspicions) = watch::channel(Arc::default());
         let (stop, stopped) = watch::channel(false);
         let (fail, failed) = watch::channel(None);
         let (to_control, control_inputs) = flume::unbounded();
@@ -339,7 +339,7 @@
             self.settings.operators.listen.to_string(),
         ))?;
         let hello = Hello {
-            place: self.node.clone(),
+            node: self.node.clone(),
             incarnation: self.incarnation,
             operator_address: operators_address,
             data_centre: self.settings.vm.data_centre.clone(),
@@ -494,7 +494,7 @@
                 metrics: self.metrics.clone(),
                 reactor: reactor.clone(),
                 published: published.clone(),
-                verdicts,
+                suspicions,
             });
             tasks.push(tokio::spawn(frontend.run(listener, stopped)));
         }
--- a/components/node/src/reactor/mod.rs
+++ b/components/node/src/reactor/mod.rs
@@ -176,7 +176,7 @@
     /// Creates a reactor with an empty view.
     pub(crate) fn new(parts: Parts) -> Self {
         let hello = parts.hub.hello().clone();
-        let me = hello.place.vm.clone();
+        let me = hello.node.vm.clone();
         // CAST: truncation is harmless; the number only spreads processes over the seeds.
         let spread = hello.incarnation as usize;
         let seeds = parts.seeds.clone();
@@ -324,7 +324,7 @@
             }
             Input::Backoff(handle, backoff) => self.handle_backoff(now, handle, backoff),
             Input::Crashed(crash) => self.quarantine.handle_crash(crash),
-            Input::Cleared(completion) => self.quarantine.handle_completion(completion),
+            Input::Completed(completion) => self.quarantine.handle_completion(completion),
             Input::Query(query, answer) => self.queries.ask(now, &self.parts.hub, query, answer),
             Input::Load(endpoint, load) => self.schedulers.handle_load(now, endpoint, load),
             Input::Applied(steps) => self.apply_steps(now, None, &steps),
@@ -396,8 +396,8 @@
     fn handle_link(&mut self, now: Millis, event: link::Event) {
         match event {
             link::Event::Up(hello) => {
-                let vm = &hello.place.vm;
-                self.parts.journal.note(Event::new(Kind::LinkUp).peer(vm));
+                let vm = &hello.node.vm;
+                self.parts.journal.record(Event::new(Kind::LinkUp).peer(vm));
                 self.dissemination
                     .link_up(&self.parts.hub, vm, self.view.version);
                 self.send_to_control(crate::control::Input::Up(hello.clone()));
@@ -407,7 +407,7 @@
             link::Event::Down(vm) => {
                 self.parts
                     .journal
-                    .note(Event::new(Kind::LinkDown).peer(&vm));
+                    .record(Event::new(Kind::LinkDown).peer(&vm));
                 self.dissemination.link_down(now, &vm);
                 self.schedulers.link_down(now, &vm);
                 self.dispatcher.link_down(now, &vm);
@@ -428,7 +428,7 @@
             Message::Reply(id, reply) => self.queries.handle_reply(now, &self.parts.hub, id, reply),
             Message::Subscribe(version) => {
                 let hub = &self.parts.hub;
-                let peer = hub.peers().into_iter().find(|p| p.place.vm == vm);
+                let peer = hub.peers().into_iter().find(|p| p.node.vm == vm);
                 let is_new = peer.is_some_and(|peer| {
                     self.dissemination
                         .handle_subscribe(now, hub, peer, &self.view, version)
@@ -441,11 +441,11 @@
                 }
             }
             Message::Unsubscribe => self.dissemination.handle_unsubscribe(&vm),
-            Message::Redirect(place) => {
+            Message::Redirect(node) => {
                 self.dissemination
-                    .handle_redirect(now, &self.parts.hub, &vm, place);
+                    .handle_redirect(now, &self.parts.hub, &vm, node);
             }
-            Message::VersionProof(head) => {
+            Message::RootHeartbeat(head) => {
                 self.dissemination.mark_received(now, &vm);
                 self.dissemination.handle_root_heartbeat(
                     now,
@@ -489,7 +489,9 @@
             Message::CachedPrompts(cached) => {
                 self.schedulers.handle_cached(&self.effective, &vm, &cached)
             }
-            Message::Served(served) => self.schedulers.handle_served(&self.effective, &served),
+            Message::ServiceTotals(totals) => {
+                self.schedulers.handle_totals(&self.effective, &totals)
+            }
             Message::Unassigned(epoch) => self.dispatcher.unassigned(now, epoch),
             Message::Listing(_)
             | Message::ListingChange(_)
@@ -559,7 +561,7 @@
         self.index = Arc::new(Index::from(&self.view.config));
         self.parts
             .journal
-            .note(Event::new(Kind::VersionInForce).version(version));
+            .record(Event::new(Kind::VersionInForce).version(version));
         tracing::info!(
             event = Line::VersionInForce.as_str(),
             version = version.0,
@@ -621,7 +623,7 @@
         self.effective = Arc::new(effective);
         self.schedulers
             .apply_view(now, &self.effective, &mut self.batch);
-        let effects = self.dispatcher.follow(now, &self.effective);
+        let effects = self.dispatcher.update_view(now, &self.effective);
         self.perform(now, effects);
         if self.parts.serves_callers {
             self.dispatcher.open_nearby(now, &self.effective);
@@ -644,7 +646,7 @@
                 event = Line::Stopping.as_str(),
                 version = self.view.version.0
             );
-            self.parts.journal.note(Event::new(Kind::Stopping));
+            self.parts.journal.record(Event::new(Kind::Stopping));
             self.stopping = true;
             self.dirty = true;
         }
@@ -666,7 +668,7 @@
                         let _ = sender.send(Decision::Refused(refusal));
                     }
                 }
-                Effect::Unserved(handle) => {
+                Effect::NoEndpoint(handle) => {
                     if let Some(sender) = self.decisions.remove(&handle) {
                         // The caller may have disconnected meanwhile.
                         let _ = sender.send(Decision::NoEndpoint);
@@ -757,7 +759,7 @@
             self.next_measure_at = now.after(MEASURE_INTERVAL_MS);
             self.update_metrics();
             self.update_dedicated();
-            self.send_served();
+            self.send_totals();
             self.close_unused_links();
             self.dissemination
                 .count_routers(&self.parts.hub, &self.members);
--- a/components/node/src/reactor/peers.rs
+++ b/components/node/src/reactor/peers.rs
@@ -145,7 +145,7 @@
     fn control_vm(&self, attempt: usize) -> Option<Name> {
         let peers = self.parts.hub.peers();
         let data_centre = |vm: &Name| {
-            let peer = peers.iter().find(|p| p.place.vm == *vm);
+            let peer = peers.iter().find(|p| p.node.vm == *vm);
             peer.map(|p| &p.data_centre)
         };
         let nodes = self.control_nodes();
@@ -291,11 +291,13 @@
     }
 
     /// Sends schedulers in other regions the service that the schedulers here have granted.
-    pub(super) fn send_served(&mut self) {
+    pub(super) fn send_totals(&mut self) {
         let mut wanted = BTreeSet::new();
-        for (to, served) in self.schedulers.take_served(&self.effective) {
+        for (to, totals) in self.schedulers.take_totals(&self.effective) {
             self.parts.hub.dial(&to.node);
-            self.parts.hub.send(&to.node.vm, Message::Served(served));
+            self.parts
+                .hub
+                .send(&to.node.vm, Message::ServiceTotals(totals));
             wanted.insert(to.node.vm);
         }
         self.dialed_regions = wanted;
--- a/components/node/src/reactor/status.rs
+++ b/components/node/src/reactor/status.rs
@@ -129,7 +129,7 @@
                 .hub
                 .peers()
                 .into_iter()
-                .map(|p| p.place.vm)
+                .map(|p| p.node.vm)
                 .collect(),
             waiting: self
                 .dispatcher
--- a/components/node/src/schedulers.rs
+++ b/components/node/src/schedulers.rs
@@ -8,7 +8,7 @@
 use crate::shared::ShardStatus;
 use coordination::assignment;
 use coordination::dispatcher::{endpoints, set_cold, set_engines};
-use coordination::messages::{Cached, Report, Served};
+use coordination::messages::{Cached, Report, Totals};
 use coordination::scheduler::{Effect, Effects, Scheduler, Session};
 use state::clock::Millis;
 use state::config::Endpoint;
@@ -88,12 +88,12 @@
         for epoch in ended {
             if let Some(assigned) = self.all.remove(&epoch) {
                 let event = Event::new(Kind::SchedulerEnded).service(assigned.shard.service);
-                self.journal.note(event.epoch(epoch));
+                self.journal.record(event.epoch(epoch));
             }
         }
         for (epoch, shard) in started {
             let event = Event::new(Kind::SchedulerBegan).service(shard.service);
-            self.journal.note(event.epoch(epoch));
+            self.journal.record(event.epoch(epoch));
             let mut scheduler = Scheduler::new(epoch, now);
             scheduler.enable_batching();
             if self.inquiries.is_some() {
@@ -124,8 +124,8 @@
             assigned.sends_endpoint_details = view.is_partial();
             slots.retain(|id| assigned.endpoints.contains_key(&id));
             set_engines(slots, view, &assigned.shard);
-            for (id, count, lead, leaving) in endpoints(view, &assigned.shard) {
-                slots.set(id, count, lead, leaving);
+            for (id, count, prefetch, leaving) in endpoints(view, &assigned.shard) {
+                slots.set(id, count, prefetch, leaving);
             }
             set_cold(slots, now, view, |_| 0);
             slots.retain_foreign(|id| {
@@ -178,7 +178,7 @@
 
     /// The service that each scheduler has granted, with the schedulers of the same service that
     /// it is sent to.
-    pub(crate) fn take_served(&mut self, view: &View) -> Vec<(Assignment, Served)> {
+    pub(crate) fn take_totals(&mut self, view: &View) -> Vec<(Assignment, Totals)> {
         let mut all = Vec::new();
         for assigned in self.all.values_mut() {
             let other = |s: &&Assignment| {
@@ -188,8 +188,8 @@
             if others.is_empty() {
                 continue;
             }
-            let served = assigned.scheduler.take_served();
-            all.extend(others.into_iter().map(|to| (to.clone(), served.clone())));
+            let totals = assigned.scheduler.take_totals();
+            all.extend(others.into_iter().map(|to| (to.clone(), totals.clone())));
         }
         all
     }
@@ -242,14 +242,14 @@
     }
 
     /// Handles a message about the service that another scheduler has granted.
-    pub(crate) fn handle_served(&mut self, view: &View, served: &Served) {
-        let Some(assignment) = view.assignments.iter().find(|s| s.epoch == served.epoch) else {
+    pub(crate) fn handle_totals(&mut self, view: &View, totals: &Totals) {
+        let Some(assignment) = view.assignments.iter().find(|s| s.epoch == totals.epoch) else {
             return;
         };
         for assigned in self.all.values_mut() {
             let other = assigned.shard != assignment.shard;
             if other && assigned.shard.service == assignment.shard.service {
-                assigned.scheduler.merge_served(served);
+                assigned.scheduler.merge_totals(totals);
             }
         }
     }
@@ -279,7 +279,7 @@
                 let effects = assigned.scheduler.note_inventory(
                     now,
                     endpoint,
-                    contents.born,
+                    contents.started_ms,
                     &contents.parts,
                 );
                 assigned.perform(effects, batch, &self.journal, &self.metrics);
@@ -426,7 +426,7 @@
             return Effects::new();
         };
         if matches!(report, Report::Return(_)) {
-            metrics.returns.inc();
+            metrics.returned_grants.inc();
         }
         self.scheduler.handle_report(now, session, report)
     }
@@ -477,11 +477,11 @@
                 }
                 Effect::Ejected(endpoint) => {
                     self.log_health(Line::EndpointEjected, endpoint);
-                    journal.note(Event::new(Kind::Ejected).endpoint(endpoint));
+                    journal.record(Event::new(Kind::Ejected).endpoint(endpoint));
                 }
                 Effect::Restored(endpoint) => {
                     self.log_health(Line::EndpointRestored, endpoint);
-                    journal.note(Event::new(Kind::Restored).endpoint(endpoint));
+                    journal.record(Event::new(Kind::Restored).endpoint(endpoint));
                 }
             }
         }
--- a/components/protocol/src/wire.rs
+++ b/components/protocol/src/wire.rs
@@ -4,7 +4,7 @@
 
 use coordination::cell;
 use coordination::consensus::Envelope;
-use coordination::messages::{Cached, Grant, Refusal, Report, Served};
+use coordination::messages::{Cached, Grant, Refusal, Report, Totals};
 use coordination::tree::Confirmation;
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
@@ -24,7 +24,8 @@
 #[serde(rename_all = "kebab-case")]
 pub struct Hello {
     /// Name of the sender's VM, and the address that the sender accepts links on.
-    pub place: Node,
+    #[serde(rename = "place")]
+    pub node: Node,
     /// Incarnation of the sender: a new number for each start of its process.
     pub incarnation: u64,
     /// Address that the sender listens on for operators.
@@ -142,7 +143,7 @@
     Redirect(Node),
     /// Dissemination: a root of the tree has just confirmed that this version is in force.
     #[serde(rename = "pulse")]
-    VersionProof(Version),
+    RootHeartbeat(Version),
     /// Dissemination: the next versions, each as its changes to the one before.
     #[serde(rename = "steps")]
     Updates(SmallVec<[Step; 1]>),
@@ -161,7 +162,8 @@
     Refusals(SmallVec<[Refusal; 2]>),
     /// From a scheduler to the schedulers of the same service in other regions: the service that
     /// customers have received from the sender in its epoch.
-    Served(Served),
+    #[serde(rename = "served")]
+    ServiceTotals(Totals),
     /// From a scheduler to the schedulers of the same service in its region: parts of prompts that
     /// its engines have cached.
     #[serde(rename = "kept")]
@@ -225,7 +227,7 @@
             Message::Subscribe(_) => "subscribe",
             Message::Unsubscribe => "unsubscribe",
             Message::Redirect(_) => "elsewhere",
-            Message::VersionProof(_) => "pulse",
+            Message::RootHeartbeat(_) => "pulse",
             Message::Updates(_) => "steps",
             Message::FullView(_) => "whole",
             Message::Confirm(_) => "confirm",
@@ -233,7 +235,7 @@
             Message::Reports(..) => "reports",
             Message::Grants(_) => "grants",
             Message::Refusals(_) => "refusals",
-            Message::Served(..) => "served",
+            Message::ServiceTotals(..) => "served",
             Message::CachedPrompts(_) => "kept",
             Message::Unassigned(_) => "unassigned",
             Message::Listing(_) => "listing",
--- a/components/protocol/tests/codec.rs
+++ b/components/protocol/tests/codec.rs
@@ -14,7 +14,7 @@
 fn frame() -> Frame {
     Frame {
         stamp: Stamp { wall: 5, count: 2 },
-        message: Message::VersionProof(Version(300)),
+        message: Message::RootHeartbeat(Version(300)),
     }
 }
 
--- a/components/state/src/view.rs
+++ b/components/state/src/view.rs
@@ -289,9 +289,9 @@
                 self.evacuations.insert(data_centre.clone(), *evacuation);
             }
             Change::Suspects(changes) => {
-                for (fingerprint, standing) in changes {
-                    match standing {
-                        Some(standing) => self.suspects.insert(*fingerprint, *standing),
+                for (fingerprint, status) in changes {
+                    match status {
+                        Some(status) => self.suspects.insert(*fingerprint, *status),
                         None => self.suspects.remove(fingerprint),
                     };
                 }
--- a/components/transport/src/link.rs
+++ b/components/transport/src/link.rs
@@ -292,7 +292,7 @@
 
     /// Keeps a link to a peer open from now on: opens it, and opens it again when it is lost.
     pub fn dial(&self, node: &Node) {
-        if node.vm == self.inner.hello.place.vm {
+        if node.vm == self.inner.hello.node.vm {
             return;
         }
         let mut table = self.inner.table();
@@ -326,7 +326,7 @@
 
     /// Whether the link to a VM is up; true for the VM of this process.
     pub fn is_up(&self, vm: &Name) -> bool {
-        *vm == self.inner.hello.place.vm || self.inner.table().links.contains_key(vm)
+        *vm == self.inner.hello.node.vm || self.inner.table().links.contains_key(vm)
     }
 
     /// Introductions of all peers whose links are up.
@@ -342,7 +342,7 @@
     /// Queues a message to a VM; returns false if there is no link, or its send queue is full. A
     /// message to this process itself arrives as an event.
     pub fn send(&self, vm: &Name, message: Message) -> bool {
-        if *vm == self.inner.hello.place.vm {
+        if *vm == self.inner.hello.node.vm {
             let event = Event::Message(vm.clone(), message);
             return self.inner.events.send(event).is_ok();
         }
@@ -494,16 +494,16 @@
         let Message::Hello(hello) = frame.message else {
             return Err(peer_error(remote, "its first message was not a hello"));
         };
-        if self.inner.verifies_peers && !is_certified(&connection, &hello.place.vm) {
+        if self.inner.verifies_peers && !is_certified(&connection, &hello.node.vm) {
             return Err(peer_error(
                 remote,
                 "its certificate is issued to another VM",
             ));
         }
-        if expected.is_some_and(|vm| *vm != hello.place.vm) {
+        if expected.is_some_and(|vm| *vm != hello.node.vm) {
             return Err(peer_error(remote, "another VM accepted the link"));
         }
-        let vm = hello.place.vm.clone();
+        let vm = hello.node.vm.clone();
         let (sender, receiver) = flume::bounded(MAX_QUEUED_FRAMES);
         let queued_bytes = Arc::new(AtomicUsize::new(0));
         let queue = (sender, queued_bytes.clone());
@@ -536,8 +536,8 @@
         connection: &quinn::Connection,
     ) -> Option<u64> {
         let mut table = self.inner.table();
-        let vm = hello.place.vm.clone();
-        let own = &self.inner.hello.place.vm;
+        let vm = hello.node.vm.clone();
+        let own = &self.inner.hello.node.vm;
         if table.partitioned.contains(&vm) || vm == *own {
             return None;
         }
--- a/components/transport/tests/link.rs
+++ b/components/transport/tests/link.rs
@@ -32,7 +32,7 @@
         address: socket.address().unwrap(),
     };
     let hello = Hello {
-        place: node.clone(),
+        node: node.clone(),
         incarnation,
         operator_address: any,
         data_centre: name("dc-1"),
@@ -56,16 +56,16 @@
     let fleet = create_authority().unwrap();
     let (a, b) = (process(&fleet, "a", "a", 1), process(&fleet, "b", "b", 1));
     a.hub.dial(&b.node);
-    assert!(matches!(next(&a).await, Some(Event::Up(h)) if h.place == b.node));
-    assert!(matches!(next(&b).await, Some(Event::Up(h)) if h.place == a.node));
+    assert!(matches!(next(&a).await, Some(Event::Up(h)) if h.node == b.node));
+    assert!(matches!(next(&b).await, Some(Event::Up(h)) if h.node == a.node));
     for n in 0..500 {
-        assert!(a.hub.send(&b.node.vm, Message::VersionProof(Version(n))));
+        assert!(a.hub.send(&b.node.vm, Message::RootHeartbeat(Version(n))));
         assert!(b.hub.send(&a.node.vm, Message::Unassigned(Epoch(n))));
     }
     for n in 0..500 {
         let to_b = next(&b).await;
         assert!(
-            matches!(to_b, Some(Event::Message(_, Message::VersionProof(v))) if v == Version(n))
+            matches!(to_b, Some(Event::Message(_, Message::RootHeartbeat(v))) if v == Version(n))
         );
         let to_a = next(&a).await;
         assert!(matches!(to_a, Some(Event::Message(_, Message::Unassigned(e))) if e == Epoch(n)));
@@ -89,8 +89,8 @@
         assert!(matches!(next(&b).await, Some(Event::Up(_))));
         // Whichever link came up first, the one that `a` opened is kept in the end.
         while !is_quiet(&a).await || !is_quiet(&b).await {}
-        assert!(a.hub.send(&b.node.vm, Message::VersionProof(Version(1))));
-        assert!(b.hub.send(&a.node.vm, Message::VersionProof(Version(2))));
+        assert!(a.hub.send(&b.node.vm, Message::RootHeartbeat(Version(1))));
+        assert!(b.hub.send(&a.node.vm, Message::RootHeartbeat(Version(2))));
         assert!(matches!(next(&a).await, Some(Event::Message(..))));
         assert!(matches!(next(&b).await, Some(Event::Message(..))));
         a.hub.stop().await;
