--- a/components/coordination/src/slot/select.rs
+++ b/components/coordination/src/slot/select.rs
@@ -15,8 +15,8 @@
 ///
 /// A copy moves hundreds of megabytes over the network and takes memory of one more engine.
 /// Where no part is requested more often than one engine can serve, copies bring nothing; with
-/// four such parts in a hundred, they bring 20 percent more answers in time
-/// (`can_copy_a_part_that_becomes_hot`).
+/// one such part in 25, twenty more of a hundred answers come in time
+/// (`can_copy_cached_parts_that_become_popular`).
 const COPY_COST_PERCENT: u64 = 66;
 /// Weight of the work of a request on an engine, relative to the time until its answer: the
 /// prefill delays all other requests of the engine.
