--- a/components/node/src/frontend/access_log.rs
+++ b/components/node/src/frontend/access_log.rs
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub(crate) struct Entry {
     id: RequestId,
-    /// Identity that the caller gave the request.
+    /// ID that the caller gave the request.
     caller_request_id: Option<HeaderValue>,
     arrived_at: Instant,
     metrics: Metrics,
--- a/components/node/src/frontend/admit.rs
+++ b/components/node/src/frontend/admit.rs
@@ -45,7 +45,7 @@
     let inbound = (frontend.context.interface.parse_request)(head);
     if let Ok(inbound) = &inbound {
         // Set before any check, so that the log line of a refused request has the caller's
-        // identity.
+        // ID.
         entry.set_caller_request_id(inbound.request_id.clone());
     }
     check_ready(published)?;
