--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -81,7 +81,7 @@
         let now = Millis(n / u64::from(engines) * WARMUP_INTERVAL_MS);
         if let Some(mut prefill) = slots.acquire(now, id, prompt(n)) {
             let first = now.after(OVERHEAD_MS + prefill.prefill_tokens() / PREFILL_TOKENS_PER_MS);
-            slots.note_first_byte(first, id, &mut prefill, FIRST_BYTE_TOOK_MS);
+            slots.record_first_byte(first, id, &mut prefill, FIRST_BYTE_TOOK_MS);
             slots.end_prefill(first, id, &prefill);
             slots.release(first, id, Some(Verdict::Fine));
         }
@@ -202,7 +202,7 @@
     fn report_first_byte(&mut self, seq: Seq) -> Duration {
         let began = Instant::now();
         let effects =
-            (self.scheduler).note_first_byte(self.now, self.session, seq, FIRST_BYTE_TOOK_MS);
+            (self.scheduler).record_first_byte(self.now, self.session, seq, FIRST_BYTE_TOOK_MS);
         let took = began.elapsed();
         self.collect_grants(&effects);
         took
--- a/components/coordination/src/dispatcher/mod.rs
+++ b/components/coordination/src/dispatcher/mod.rs
@@ -39,15 +39,15 @@
 /// Factor by which a request's cost must grow before it is reported again.
 const PROGRESS_FACTOR: u32 = 2;
 
-/// Divisor of a request's aim, its time to first byte, that gives how long the first request
-/// of a class may wait without an ask before new requests of the class are refused.
+/// Divisor of a request's latency target, its time to first byte, that gives how long the first
+/// request of a class may wait without an ask before new requests of the class are refused.
 ///
 /// The scheduler sees [`ASK_WINDOW`] requests of a class and refuses those that would be late,
 /// but it does not see the requests behind them. With a bound on their number alone, hundreds
-/// of requests would wait long past their aims only to be refused then.
+/// of requests would wait long past their latency targets only to be refused then.
 const STUCK_AIM_DIVISOR: u64 = 4;
-/// Divisor of a request's aim that gives how long it may wait without an ask before it is
-/// refused.
+/// Divisor of a request's latency target that gives how long it may wait without an ask before
+/// it is refused.
 const UNASKED_AIM_DIVISOR: u64 = 2;
 /// Time after which the caller of such a refused request may retry, in milliseconds.
 const UNASKED_RETRY_AFTER_MS: u32 = 300;
@@ -356,7 +356,12 @@
 
     /// Reports that the first byte of an answer has arrived, `took_ms` after the request was
     /// dispatched; `None` if this router ran late and its measurement is unreliable.
-    pub fn began(&mut self, now: Millis, handle: Handle, took_ms: Option<u32>) -> Effects {
+    pub fn report_first_byte(
+        &mut self,
+        now: Millis,
+        handle: Handle,
+        took_ms: Option<u32>,
+    ) -> Effects {
         let mut effects = Effects::new();
         let Some(request) = self.requests.get(handle) else {
             return effects;
--- a/components/coordination/src/dispatcher/queue.rs
+++ b/components/coordination/src/dispatcher/queue.rs
@@ -132,11 +132,11 @@
         self.send_asks(now, arrival.service, arrival.class, effects);
     }
 
-    /// Whether a request has waited without an ask for longer than its aim divided by
-    /// `divisor`, while its shard had a scheduler.
+    /// Whether a request has waited without an ask for longer than its latency target divided
+    /// by `divisor`, while its shard had a scheduler.
     ///
-    /// False for a retry, and for a request whose aim had passed when it was queued: the
-    /// scheduler decides whether these are still worth serving.
+    /// False for a retry, and for a request whose latency target had passed when it was queued:
+    /// the scheduler decides whether these are still worth serving.
     pub(super) fn is_stuck(&self, now: Millis, request: &Request, divisor: u64) -> bool {
         let session = self.sessions.get(&request.shard).filter(|s| s.is_up);
         let Some(session) = session.filter(|_| request.stage == Stage::Waiting) else {
--- a/components/coordination/src/dispatcher/selection.rs
+++ b/components/coordination/src/dispatcher/selection.rs
@@ -23,13 +23,13 @@
 /// prefilling them takes an engine some 20 ms, several times the round trip to another data
 /// centre.
 const AFFINITY_MIN_TOKENS: u64 = 1000;
-/// Divisor of a request's aim, its time to first byte, that gives the longest expected wait
-/// at its preferred shard. Beyond that the scheduler is about to refuse requests, and another
+/// Divisor of a request's latency target, its time to first byte, that gives the longest expected
+/// wait at its preferred shard. Beyond that the scheduler is about to refuse requests, and another
 /// shard is tried.
 const PREFERRED_WAIT_DIVISOR: u64 = 4;
-/// Divisor of a request's aim that gives the longest expected wait at such another shard. The
-/// wait is half of that at the preferred shard, so that requests don't move away from their
-/// cached prompt parts where all shards are overloaded.
+/// Divisor of a request's latency target that gives the longest expected wait at such another
+/// shard. The wait is half of that at the preferred shard, so that requests don't move away from
+/// their cached prompt parts where all shards are overloaded.
 const OTHER_WAIT_DIVISOR: u64 = 8;
 /// Time in which a measured wait loses half of its weight, in milliseconds: about the time
 /// that a scheduler needs to serve the requests that it has accepted.
--- a/components/coordination/src/dispatcher/session.rs
+++ b/components/coordination/src/dispatcher/session.rs
@@ -195,12 +195,12 @@
         (now < *until).then_some(*after_ms)
     }
 
-    /// Remembers a refusal of a request with this aim.
+    /// Remembers a refusal of a request with this latency target.
     ///
     /// A scheduler with several times the load that its engines can serve spends its
     /// processor time on refusals, and requests wait long for theirs. If the refused request
-    /// would have waited for its whole aim, twice what is allowed, requests of the class that
-    /// arrive right after it would be refused as well.
+    /// would have waited for its whole latency target, twice what is allowed, requests of the
+    /// class that arrive right after it would be refused as well.
     pub(super) fn record_refusal(
         &mut self,
         now: Millis,
--- a/components/coordination/src/engine/backlog.rs
+++ b/components/coordination/src/engine/backlog.rs
@@ -63,7 +63,7 @@
     pub ahead_us: u64,
 }
 
-/// A router's report of the first event of a response.
+/// A router's report of the first event of an answer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FirstEvent {
     /// When the scheduler received the report.
@@ -212,7 +212,7 @@
     }
 
     /// Removes a request that has had its first event, and corrects the estimates by it.
-    pub(super) fn note_first_event(&mut self, expected: &Expected, first: FirstEvent) {
+    pub(super) fn record_first_event(&mut self, expected: &Expected, first: FirstEvent) {
         self.remove(expected);
         let occurred_us = first.occurred_us(expected);
         // Prefill of the pending requests began when that of this request ended.
--- a/components/coordination/src/engine/mod.rs
+++ b/components/coordination/src/engine/mod.rs
@@ -359,8 +359,8 @@
         *self = Engine::new(self.memory_tokens);
     }
 
-    /// Notes a cached part that a router or the engine itself has reported.
-    pub fn note_cached(&mut self, now: Millis, part: Part, changes: &mut Changes) {
+    /// Records a cached part that a router or the engine itself has reported.
+    pub fn record_cached(&mut self, now: Millis, part: Part, changes: &mut Changes) {
         let entry = self.cache.entry(part.key);
         entry.or_insert_with(|| {
             self.cached_tokens += u64::from(part.tokens);
@@ -376,9 +376,9 @@
         self.evict(changes);
     }
 
-    /// Notes the first event of a request, `took_ms` after its grant: its prompt has been
+    /// Records the first event of a request, `took_ms` after its grant: its prompt has been
     /// prefilled.
-    pub fn note_first_byte(&mut self, now: Millis, prefill: &mut Prefill, took_ms: Option<u32>) {
+    pub fn record_first_byte(&mut self, now: Millis, prefill: &mut Prefill, took_ms: Option<u32>) {
         if std::mem::replace(&mut prefill.has_first_event, true) {
             return;
         }
@@ -389,7 +389,7 @@
             took_ms,
             is_prefill_only,
         };
-        self.backlog.note_first_event(&prefill.expected, first);
+        self.backlog.record_first_event(&prefill.expected, first);
         for part in prefill.prompt.parts() {
             if let Some(entry) = self.cache.get_mut(&part.key) {
                 entry.is_prefilled = true;
--- a/components/coordination/src/messages.rs
+++ b/components/coordination/src/messages.rs
@@ -182,7 +182,7 @@
     pub to_read: u32,
     /// Time until the prefill begins, in milliseconds.
     pub ahead_ms: u32,
-    /// Time from the grant to the first event of the answer, in milliseconds.
+    /// Time from the grant to the first byte of the answer, in milliseconds.
     pub first_ms: u32,
 }
 
--- a/components/coordination/src/scheduler/allocation.rs
+++ b/components/coordination/src/scheduler/allocation.rs
@@ -40,13 +40,13 @@
 }
 
 impl Allocations {
-    pub(super) fn note_granted(&mut self, customer: CustomerId, cost: u32) {
+    pub(super) fn record_granted(&mut self, customer: CustomerId, cost: u32) {
         let counters = self.counters.entry(customer).or_default();
         counters.granted += 1;
         counters.cost += u64::from(cost);
     }
 
-    pub(super) fn note_refused(&mut self, customer: CustomerId) {
+    pub(super) fn record_refused(&mut self, customer: CustomerId) {
         self.counters.entry(customer).or_default().refused += 1;
     }
 }
--- a/components/coordination/src/scheduler/cached.rs
+++ b/components/coordination/src/scheduler/cached.rs
@@ -23,8 +23,8 @@
 }
 
 impl Scheduler {
-    /// Notes that an engine has prefilled the shared parts of a prompt.
-    pub(super) fn note_prefilled(&mut self, session: Session, seq: Seq) {
+    /// Records that an engine has prefilled the shared parts of a prompt.
+    pub(super) fn record_prefilled(&mut self, session: Session, seq: Seq) {
         if !self.slots.can_copy() {
             return;
         }
--- a/components/coordination/src/scheduler/mod.rs
+++ b/components/coordination/src/scheduler/mod.rs
@@ -290,7 +290,7 @@
         self.next_session += 1;
         self.sessions.insert(session);
         for cached in &hello.cached {
-            self.slots.note_cached(now, cached.endpoint, cached.part);
+            self.slots.record_cached(now, cached.endpoint, cached.part);
         }
         for backoff in &hello.backoff {
             self.slots.back_off(now, session.0, backoff);
@@ -349,16 +349,16 @@
 
     /// Takes the inventory of an engine, which is empty if it could not be read, and the start
     /// time that the engine has reported, in Unix milliseconds.
-    pub fn note_inventory(
+    pub fn record_inventory(
         &mut self,
         now: Millis,
         endpoint: EndpointId,
         started_at: Option<u64>,
         parts: &[Part],
     ) -> Effects {
-        if self.slots.note_start(endpoint, started_at) {
+        if self.slots.record_start(endpoint, started_at) {
             for part in parts {
-                self.slots.note_cached(now, endpoint, *part);
+                self.slots.record_cached(now, endpoint, *part);
             }
         }
         self.inventories_missing.remove(&endpoint);
@@ -376,7 +376,7 @@
                 Effects::new()
             }
             Report::Return(seq) => self.return_grant(now, session, seq),
-            Report::FirstByte(seq, took_ms) => self.note_first_byte(now, session, seq, took_ms),
+            Report::FirstByte(seq, took_ms) => self.record_first_byte(now, session, seq, took_ms),
             Report::Progress(seq, cost) => {
                 self.progress(session, seq, cost);
                 Effects::new()
@@ -439,9 +439,9 @@
         self.grant(now)
     }
 
-    /// Notes the first byte of an answer, `took_ms` after the grant reached the router: the
+    /// Records the first byte of an answer, `took_ms` after the grant reached the router: the
     /// engine has prefilled the prompt, and may be sent the next one.
-    pub fn note_first_byte(
+    pub fn record_first_byte(
         &mut self,
         now: Millis,
         session: Session,
@@ -452,10 +452,10 @@
             running.silent_at = None;
             if let Some(prefill) = &mut running.prefill {
                 self.slots
-                    .note_first_byte(now, running.endpoint, prefill, took_ms);
+                    .record_first_byte(now, running.endpoint, prefill, took_ms);
             }
         }
-        self.note_prefilled(session, seq);
+        self.record_prefilled(session, seq);
         self.grant(now)
     }
 
@@ -488,7 +488,7 @@
         };
         // Callers cancel requests to an endpoint that never answers.
         if verdict == Verdict::Cancelled && running.silent_at.is_some_and(|at| at <= now) {
-            self.slots.note_silence(now, running.endpoint);
+            self.slots.record_silence(now, running.endpoint);
         }
         match change {
             health::Change::Ejected => effects.push(Effect::Ejected(running.endpoint)),
@@ -508,7 +508,7 @@
     /// Takes the next report of the service given here in this epoch, for other regions: the
     /// totals that have grown since the last report, and regularly all totals, in case a report
     /// was lost.
-    pub fn take_totals(&mut self) -> Totals {
+    pub fn take_service_totals(&mut self) -> Totals {
         let grown = std::mem::take(&mut self.grown);
         let all = self.reports.is_multiple_of(FULL_REPORT_INTERVAL);
         self.reports = self.reports.wrapping_add(1);
@@ -526,7 +526,7 @@
     ///
     /// The first report with all totals of an epoch only sets the base for counting: earlier
     /// service was counted by the scheduler that this one has replaced.
-    pub fn merge_totals(&mut self, received: &Totals) {
+    pub fn merge_service_totals(&mut self, received: &Totals) {
         let is_known = self.foreign.contains_key(&received.epoch);
         if !is_known && !received.all {
             return;
@@ -631,7 +631,7 @@
         let customer = ask.class.customer;
         self.throughput.start(ask.hint);
         self.granted += 1;
-        self.allocations.note_granted(customer, ask.hint);
+        self.allocations.record_granted(customer, ask.hint);
         // The charge comes before the removal of the ask, after which the customer may no longer
         // be backlogged.
         let amount = virtual_cost(ask.hint, ask.weight);
--- a/components/coordination/src/scheduler/refusal.rs
+++ b/components/coordination/src/scheduler/refusal.rs
@@ -73,7 +73,7 @@
     pub(super) fn refuse(&mut self, now: Millis, key: Key, ask: &Ask, wait_ms: u64) -> Effect {
         self.remove_ask(key.0, key.1);
         self.refused += 1;
-        self.allocations.note_refused(ask.class.customer);
+        self.allocations.record_refused(ask.class.customer);
         let excess_ms = wait_ms
             .saturating_sub(u64::from(ask.aim_ms) / 2)
             .max(RETRY_AFTER_MIN_MS);
--- a/components/coordination/src/scheduler/usage.rs
+++ b/components/coordination/src/scheduler/usage.rs
@@ -54,7 +54,7 @@
         uncounted
     }
 
-    /// Notes that usage of a session was counted.
+    /// Records that usage of a session was counted.
     pub(super) fn add(&mut self, session: Session, customer: CustomerId, spent: u64) {
         if let Some(entry) = self.sessions.get_mut(&session) {
             *entry.counted.entry(customer).or_default() += spent;
--- a/components/coordination/src/slot/foreign.rs
+++ b/components/coordination/src/slot/foreign.rs
@@ -19,7 +19,7 @@
 }
 
 impl Sources {
-    /// Notes that an engine has prefilled a part.
+    /// Records that an engine has prefilled a part.
     pub(super) fn insert(&mut self, key: u32, endpoint: EndpointId) {
         if self.engines.insert(key, endpoint).is_some() {
             return;
--- a/components/coordination/src/slot/mod.rs
+++ b/components/coordination/src/slot/mod.rs
@@ -173,7 +173,7 @@
         engine.is_some_and(|engine| engine.has_prefilled(key))
     }
 
-    /// Notes that an engine of another scheduler has prefilled a part.
+    /// Records that an engine of another scheduler has prefilled a part.
     pub fn add_foreign(&mut self, key: u32, endpoint: EndpointId) {
         self.foreign.insert(key, endpoint);
     }
@@ -192,7 +192,7 @@
         self.cold_rate = rate;
     }
 
-    /// Notes that an endpoint is cold until `until`. Its first request is delayed by
+    /// Records that an endpoint is cold until `until`. Its first request is delayed by
     /// `offset_permille` of the interval between two requests, so that processes which share
     /// the rate do not send at the same time.
     pub fn set_cold(&mut self, now: Millis, id: EndpointId, until: Millis, offset_permille: u64) {
@@ -235,7 +235,7 @@
         endpoint.leaving = leaving;
     }
 
-    /// Notes that an endpoint has asked the router of a session to send no requests for a
+    /// Records that an endpoint has asked the router of a session to send no requests for a
     /// while; an endpoint that is leaving gets no requests from any router.
     pub fn back_off(&mut self, now: Millis, session: u32, backoff: &Backoff) {
         let Some(endpoint) = self.endpoint_mut(backoff.endpoint) else {
@@ -334,13 +334,13 @@
         empty.map(|(id, _)| id).collect()
     }
 
-    /// Notes the start time that an endpoint has reported; false if it precedes the known
+    /// Records the start time that an endpoint has reported; false if it precedes the known
     /// one, so that the report comes from an earlier run of the endpoint.
     ///
     /// An endpoint that has restarted under its name has an empty cache, and the failures of
     /// its earlier run do not count: prompts would otherwise be sent to it for parts that it
     /// has to prefill again, and its rank would depend on its earlier run.
-    pub fn note_start(&mut self, id: EndpointId, started_at: Option<u64>) -> bool {
+    pub fn record_start(&mut self, id: EndpointId, started_at: Option<u64>) -> bool {
         let Some(index) = self.endpoints.index_of(id) else {
             return true;
         };
@@ -362,13 +362,15 @@
         true
     }
 
-    /// Notes a part that an engine is reported to have cached.
-    pub fn note_cached(&mut self, now: Millis, id: EndpointId, part: Part) {
-        self.with_engine(id, |engine, changes| engine.note_cached(now, part, changes));
+    /// Records a part that an engine is reported to have cached.
+    pub fn record_cached(&mut self, now: Millis, id: EndpointId, part: Part) {
+        self.with_engine(id, |engine, changes| {
+            engine.record_cached(now, part, changes)
+        });
     }
 
-    /// Notes the first byte of an answer of an engine, `took_ms` after the grant.
-    pub fn note_first_byte(
+    /// Records the first byte of an answer of an engine, `took_ms` after the grant.
+    pub fn record_first_byte(
         &mut self,
         now: Millis,
         id: EndpointId,
@@ -376,7 +378,7 @@
         took_ms: Option<u32>,
     ) {
         self.with_engine(id, |engine, _| {
-            engine.note_first_byte(now, prefill, took_ms)
+            engine.record_first_byte(now, prefill, took_ms)
         });
     }
 
@@ -439,7 +441,7 @@
     }
 
     /// Counts a request to which an endpoint has not responded for far too long as failed.
-    pub fn note_silence(&mut self, now: Millis, id: EndpointId) {
+    pub fn record_silence(&mut self, now: Millis, id: EndpointId) {
         if let Some(endpoint) = self.endpoint_mut(id) {
             endpoint.reliability.record(now, true);
         }
--- a/components/coordination/tests/cold.rs
+++ b/components/coordination/tests/cold.rs
@@ -106,7 +106,7 @@
                 let took_ms = u32::try_from(at - sent).ok();
                 effects.extend(
                     self.scheduler
-                        .note_first_byte(now, self.session, seq, took_ms),
+                        .record_first_byte(now, self.session, seq, took_ms),
                 );
                 let ended = self
                     .scheduler
--- a/components/coordination/tests/copies.rs
+++ b/components/coordination/tests/copies.rs
@@ -47,7 +47,7 @@
         scheduler.take_new_cached().is_empty(),
         "the part is not prefilled yet"
     );
-    scheduler.note_first_byte(Millis(1300), session, grant.seq, Some(300));
+    scheduler.record_first_byte(Millis(1300), session, grant.seq, Some(300));
     scheduler.done(Millis(1500), session, grant.seq, 100, Verdict::Fine);
     scheduler.take_new_cached()
 }
@@ -76,7 +76,7 @@
     );
     assert!(grant.forecast.to_read < 2000, "{:?}", grant.forecast);
     // The engine has cached the part now, so that nothing is copied.
-    local.note_first_byte(Millis(2300), session, grant.seq, Some(300));
+    local.record_first_byte(Millis(2300), session, grant.seq, Some(300));
     let grant = send(&mut local, session, 2400, 2);
     assert_eq!(grant.copy_from, None);
 }
@@ -99,7 +99,7 @@
     let (mut remote, session) = scheduler(1, REMOTE_ENGINE, true);
     assert_eq!(prefill(&mut remote, session).len(), 1);
     let grant = send(&mut remote, session, 1600, 5);
-    remote.note_first_byte(Millis(1700), session, grant.seq, Some(100));
+    remote.record_first_byte(Millis(1700), session, grant.seq, Some(100));
     assert!(remote.take_new_cached().is_empty());
     // A scheduler that has just started gets all parts.
     assert_eq!(remote.all_cached().len(), 1);
--- a/components/coordination/tests/decisions.rs
+++ b/components/coordination/tests/decisions.rs
@@ -668,7 +668,7 @@
     // Cause: each total was added in full instead of its increase.
     let (mut scheduler, _) = scheduler(1);
     let mut merge = |epoch, all, totals: &[(CustomerId, u64)]| {
-        scheduler.merge_totals(&Totals {
+        scheduler.merge_service_totals(&Totals {
             epoch: Epoch(epoch),
             all,
             totals: totals.to_vec(),
@@ -784,7 +784,7 @@
     let mut serve = |seq, customer| {
         scheduler.ask(now, session, ask(seq, customer, 0, 0));
         scheduler.done(now, session, Seq(seq), 10, Verdict::Fine);
-        let service = scheduler.take_totals();
+        let service = scheduler.take_service_totals();
         (service.all, service.totals)
     };
     assert_eq!(serve(1, CUSTOMER_A), (true, vec![(CUSTOMER_A, 10_000)]));
--- a/components/coordination/tests/load.rs
+++ b/components/coordination/tests/load.rs
@@ -311,7 +311,7 @@
     }
     let prompt = Prompt::new([(7, 13_000)], 10);
     for part in prompt.parts() {
-        slots.note_cached(Millis(0), EndpointId(1), part);
+        slots.record_cached(Millis(0), EndpointId(1), part);
     }
     let now = Millis(1000);
     let attempt = slots.acquire(now, EndpointId(2), prompt).unwrap();
@@ -474,7 +474,7 @@
         let now = Millis(10_000);
         if let Some(id) = silent {
             for _ in 0..4 {
-                scheduler.slots().note_silence(now, id);
+                scheduler.slots().record_silence(now, id);
             }
         }
         let mut counts = BTreeMap::new();
@@ -575,9 +575,9 @@
         slots.end_prefill(now, EndpointId(1), &prefill);
         prefill.prefill_tokens()
     };
-    slots.note_cached(now, EndpointId(1), Part::new(8, 5000));
+    slots.record_cached(now, EndpointId(1), Part::new(8, 5000));
     assert_eq!(to_read(&mut slots), 11_100);
-    slots.note_cached(now, EndpointId(1), Part::new(7, 6000));
+    slots.record_cached(now, EndpointId(1), Part::new(7, 6000));
     assert_eq!(to_read(&mut slots), 100);
 }
 
@@ -629,9 +629,9 @@
     assert!(scheduler.tick(now.after(20)).is_empty());
     let parts = [Part::new(8, 2000), Part::new(9, 5000)];
     assert!(scheduler
-        .note_inventory(now, EndpointId(3), None, &parts)
+        .record_inventory(now, EndpointId(3), None, &parts)
         .is_empty());
-    let granted = scheduler.note_inventory(now, EndpointId(2), None, &[]);
+    let granted = scheduler.record_inventory(now, EndpointId(2), None, &[]);
     let [Effect::Grant(_, grant)] = granted[..] else {
         panic!("{granted:?}");
     };
--- a/components/coordination/tests/placement.rs
+++ b/components/coordination/tests/placement.rs
@@ -175,8 +175,8 @@
         *has_begun = true;
         let mut other = *prefill;
         self.slots
-            .note_first_byte(self.now, *id, prefill, scan::NO_REPORT_DELAY);
-        self.scan.note_first_byte(self.now, *id, &mut other);
+            .record_first_byte(self.now, *id, prefill, scan::NO_REPORT_DELAY);
+        self.scan.record_first_byte(self.now, *id, &mut other);
     }
 
     /// Ends a random request with a random outcome.
@@ -205,8 +205,8 @@
         let id = self.random_engine();
         match self.rng.random_range(0..6) {
             0 => {
-                self.slots.note_start(id, Some(1));
-                self.slots.note_start(id, Some(1 + self.next));
+                self.slots.record_start(id, Some(1));
+                self.slots.record_start(id, Some(1 + self.next));
                 self.next += 1;
                 self.scan.reset(id);
             }
@@ -219,8 +219,8 @@
             }
             _ => {
                 let part = Part::new(self.rng.random_range(0..6), 1500);
-                self.slots.note_cached(self.now, id, part);
-                self.scan.note_cached(self.now, id, part);
+                self.slots.record_cached(self.now, id, part);
+                self.scan.record_cached(self.now, id, part);
             }
         }
     }
--- a/components/coordination/tests/region/simulation.rs
+++ b/components/coordination/tests/region/simulation.rs
@@ -440,18 +440,18 @@
         for n in 0..self.shards.len() {
             let decisions = self.shards[n].scheduler.tick(now);
             self.apply_decisions(n, decisions);
-            self.share_totals(n);
+            self.share_service_totals(n);
         }
     }
 
     /// Sends the service granted by a scheduler to all others, once a second and at a different
     /// time for each scheduler.
-    fn share_totals(&mut self, n: usize) {
+    fn share_service_totals(&mut self, n: usize) {
         let phase = 1000 * n / self.shards.len() / 20 * 20;
         if self.now_ms % 1000 != phase as u64 || self.shards.len() == 1 {
             return;
         }
-        let totals = self.shards[n].scheduler.take_totals();
+        let totals = self.shards[n].scheduler.take_service_totals();
         for other in (0..self.shards.len()).filter(|other| *other != n) {
             self.send(Message::Totals(other, totals.clone()));
         }
@@ -503,7 +503,9 @@
                     Some(_) => self.enqueue(index, Task::Refusal(refusal)),
                     None => self.handle_refusal(index, refusal),
                 },
-                Message::Totals(n, totals) => self.shards[n].scheduler.merge_totals(&totals),
+                Message::Totals(n, totals) => {
+                    self.shards[n].scheduler.merge_service_totals(&totals)
+                }
             }
         }
     }
@@ -577,7 +579,7 @@
                         false => tally.late += 1,
                     }
                     let took_ms = u32::try_from(self.now_ms - request.sent_ms).ok();
-                    let effects = router.dispatcher.began(now, handle, took_ms);
+                    let effects = router.dispatcher.report_first_byte(now, handle, took_ms);
                     self.second(customer).served_tokens += tokens;
                     self.apply_effects(index, effects);
                 }
--- a/components/coordination/tests/restart.rs
+++ b/components/coordination/tests/restart.rs
@@ -33,8 +33,8 @@
     let session = scheduler.open_session(Millis(0), None, &Hello::default());
     scheduler.grant(Millis(GATHER_MS));
     let part = [Part::new(SHARED.0, SHARED.1)];
-    scheduler.note_inventory(Millis(GATHER_MS), A, Some(1000), &part);
-    scheduler.note_inventory(Millis(GATHER_MS), B, Some(1000), &[]);
+    scheduler.record_inventory(Millis(GATHER_MS), A, Some(1000), &part);
+    scheduler.record_inventory(Millis(GATHER_MS), B, Some(1000), &[]);
     (scheduler, session)
 }
 
@@ -90,7 +90,7 @@
     // Cause: the scheduler kept the cached parts of the earlier run.
     let (mut scheduler, session) = scheduler();
     assert_eq!(granted(&mut scheduler, session, 300, 1), (A, 500));
-    scheduler.note_inventory(Millis(400), A, Some(2000), &[]);
+    scheduler.record_inventory(Millis(400), A, Some(2000), &[]);
     let (_, to_read) = granted(&mut scheduler, session, 500, 2);
     assert_eq!(to_read, 12_500);
 }
@@ -98,9 +98,9 @@
 #[test]
 fn an_inventory_of_an_earlier_run_is_ignored() {
     let (mut scheduler, session) = scheduler();
-    scheduler.note_inventory(Millis(300), A, Some(2000), &[]);
+    scheduler.record_inventory(Millis(300), A, Some(2000), &[]);
     let part = [Part::new(SHARED.0, SHARED.1)];
-    scheduler.note_inventory(Millis(310), A, Some(1000), &part);
+    scheduler.record_inventory(Millis(310), A, Some(1000), &part);
     let (_, to_read) = granted(&mut scheduler, session, 400, 1);
     assert_eq!(to_read, 12_500);
 }
--- a/components/coordination/tests/scan/mod.rs
+++ b/components/coordination/tests/scan/mod.rs
@@ -113,17 +113,17 @@
         (slot.engine).begin(now, prompt, source, &mut Changes::new())
     }
 
-    /// Notes that an engine has a part of a prompt in its cache.
-    pub(crate) fn note_cached(&mut self, now: Millis, id: EndpointId, part: Part) {
+    /// Records that an engine has a part of a prompt in its cache.
+    pub(crate) fn record_cached(&mut self, now: Millis, id: EndpointId, part: Part) {
         if let Some(slot) = self.engines.get_mut(&id) {
-            slot.engine.note_cached(now, part, &mut Changes::new());
+            slot.engine.record_cached(now, part, &mut Changes::new());
         }
     }
 
-    /// Notes the first byte of a request.
-    pub(crate) fn note_first_byte(&mut self, now: Millis, id: EndpointId, prefill: &mut Prefill) {
+    /// Records the first byte of a request.
+    pub(crate) fn record_first_byte(&mut self, now: Millis, id: EndpointId, prefill: &mut Prefill) {
         if let Some(slot) = self.engines.get_mut(&id) {
-            slot.engine.note_first_byte(now, prefill, NO_REPORT_DELAY);
+            slot.engine.record_first_byte(now, prefill, NO_REPORT_DELAY);
         }
     }
 
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -435,7 +435,7 @@
     }
 
     /// Tells waiting callers to ask the next leader. Their records may still be committed; the IDs
-    /// that the records carry make a second attempt harmless.
+    /// that the records carry make a second try harmless.
     fn reject_waiters(&mut self) {
         for (_, vm, id) in std::mem::take(&mut self.waiters).into_values() {
             self.reply(&vm, id, Reply::NotLeader(None));
--- a/components/node/src/input.rs
+++ b/components/node/src/input.rs
@@ -79,7 +79,7 @@
     ),
     /// The caller of a waiting request has disconnected.
     Cancel(Handle),
-    /// An attempt has failed and the request is queued again.
+    /// A try has failed and the request is queued again.
     Requeue(Handle, Verdict, oneshot::Sender<Decided>),
     /// The first byte of an answer has arrived, this many milliseconds after the dispatch. `None`
     /// if tasks ran late meanwhile, so that the time says little about the endpoint.
--- a/components/node/src/interface.rs
+++ b/components/node/src/interface.rs
@@ -61,14 +61,14 @@
     pub copy_from: Option<SocketAddr>,
 }
 
-/// Information in the head of an endpoint's response.
+/// Information in the head of an endpoint's answer.
 #[derive(Clone, Debug, Default)]
 pub struct Signals {
     /// ID of the request that is answered.
     pub request_id: Option<HeaderValue>,
     /// Whether the endpoint states that it has not run the request.
     pub not_run: bool,
-    /// Whether the response can come from an endpoint, rather than from a proxy before it.
+    /// Whether the answer can come from an endpoint, rather than from a proxy before it.
     pub is_authentic: bool,
     /// Whether the endpoint announces that it is leaving, or another one now has its address.
     pub is_leaving: bool,
@@ -115,7 +115,7 @@
     pub parse_request: fn(&request::Parts) -> Result<Inbound, String>,
     /// Rewrites a caller's headers for the request to the endpoint.
     pub rewrite_headers: fn(&mut HeaderMap, &Outbound<'_>),
-    /// Parses the head of an endpoint's response.
+    /// Parses the head of an endpoint's answer.
     pub parse_response: fn(&response::Parts) -> Signals,
     /// Maps the status of a response that the router itself makes, because no endpoint answered.
     pub map_status: fn(StatusCode, Outcome) -> StatusCode,
@@ -182,7 +182,7 @@
     }
 }
 
-/// Parses the head of a response of an endpoint with the native interface.
+/// Parses the head of an answer of an endpoint with the native interface.
 fn native_response(head: &response::Parts) -> Signals {
     Signals {
         request_id: head.headers.get(REQUEST_ID).cloned(),
--- a/components/node/src/metric.rs
+++ b/components/node/src/metric.rs
@@ -47,7 +47,7 @@
     pub(crate) queue_wait: Histogram,
     /// Seconds from a request's arrival to the end of its answer.
     pub(crate) duration: Histogram,
-    /// Attempts after the first one of a request.
+    /// Tries of a request after its first one.
     pub(crate) retries: IntCounter,
     /// Requests that wait on this router.
     pub(crate) waiting: IntGauge,
@@ -59,7 +59,7 @@
     pub(crate) accepted_connections: IntCounter,
     /// Requests whose head was read.
     pub(crate) request_heads: IntCounter,
-    /// Attempts sent to endpoints.
+    /// Tries sent to endpoints.
     pub(crate) attempts: IntCounter,
     /// Connections closed unread, because tasks ran late or the connection limit was reached.
     pub(crate) closed_unread: IntCounter,
--- a/components/node/src/query.rs
+++ b/components/node/src/query.rs
@@ -10,7 +10,7 @@
 
 /// Time without an answer after which the next control VM is asked, in milliseconds.
 const ANSWER_TIMEOUT_MS: u64 = 400;
-/// Pause before the next attempt if no leader is known, in milliseconds.
+/// Pause before the next try if no leader is known, in milliseconds.
 const NO_LEADER_PAUSE_MS: u64 = 50;
 /// Time without queries after which links to control VMs are closed, in milliseconds. Routers need
 /// them rarely, and in a large fleet idle links would cost the control VMs too much.
--- a/components/node/src/reactor/mod.rs
+++ b/components/node/src/reactor/mod.rs
@@ -310,7 +310,7 @@
                 }
             }
             Input::FirstByte(handle, took_ms) => {
-                let effects = self.dispatcher.began(now, handle, took_ms);
+                let effects = self.dispatcher.report_first_byte(now, handle, took_ms);
                 self.perform(now, effects);
             }
             Input::Progress(handle, cost) => {
@@ -489,9 +489,9 @@
             Message::CachedPrompts(cached) => {
                 self.schedulers.handle_cached(&self.effective, &vm, &cached)
             }
-            Message::ServiceTotals(totals) => {
-                self.schedulers.handle_totals(&self.effective, &totals)
-            }
+            Message::ServiceTotals(totals) => self
+                .schedulers
+                .handle_service_totals(&self.effective, &totals),
             Message::Unassigned(epoch) => self.dispatcher.unassigned(now, epoch),
             Message::Listing(_)
             | Message::ListingChange(_)
@@ -759,7 +759,7 @@
             self.next_measure_at = now.after(MEASURE_INTERVAL_MS);
             self.update_metrics();
             self.update_dedicated();
-            self.send_totals();
+            self.send_service_totals();
             self.close_unused_links();
             self.dissemination
                 .count_routers(&self.parts.hub, &self.members);
--- a/components/node/src/reactor/peers.rs
+++ b/components/node/src/reactor/peers.rs
@@ -291,9 +291,9 @@
     }
 
     /// Sends schedulers in other regions the service that the schedulers here have granted.
-    pub(super) fn send_totals(&mut self) {
+    pub(super) fn send_service_totals(&mut self) {
         let mut wanted = BTreeSet::new();
-        for (to, totals) in self.schedulers.take_totals(&self.effective) {
+        for (to, totals) in self.schedulers.take_service_totals(&self.effective) {
             self.parts.hub.dial(&to.node);
             self.parts
                 .hub
--- a/components/node/src/schedulers.rs
+++ b/components/node/src/schedulers.rs
@@ -178,7 +178,7 @@
 
     /// The service that each scheduler has granted, with the schedulers of the same service that
     /// it is sent to.
-    pub(crate) fn take_totals(&mut self, view: &View) -> Vec<(Assignment, Totals)> {
+    pub(crate) fn take_service_totals(&mut self, view: &View) -> Vec<(Assignment, Totals)> {
         let mut all = Vec::new();
         for assigned in self.all.values_mut() {
             let other = |s: &&Assignment| {
@@ -188,7 +188,7 @@
             if others.is_empty() {
                 continue;
             }
-            let totals = assigned.scheduler.take_totals();
+            let totals = assigned.scheduler.take_service_totals();
             all.extend(others.into_iter().map(|to| (to.clone(), totals.clone())));
         }
         all
@@ -242,14 +242,14 @@
     }
 
     /// Handles a message about the service that another scheduler has granted.
-    pub(crate) fn handle_totals(&mut self, view: &View, totals: &Totals) {
+    pub(crate) fn handle_service_totals(&mut self, view: &View, totals: &Totals) {
         let Some(assignment) = view.assignments.iter().find(|s| s.epoch == totals.epoch) else {
             return;
         };
         for assigned in self.all.values_mut() {
             let other = assigned.shard != assignment.shard;
             if other && assigned.shard.service == assignment.shard.service {
-                assigned.scheduler.merge_totals(totals);
+                assigned.scheduler.merge_service_totals(totals);
             }
         }
     }
@@ -276,7 +276,7 @@
     ) {
         for assigned in self.all.values_mut() {
             if assigned.endpoints.contains_key(&endpoint) {
-                let effects = assigned.scheduler.note_inventory(
+                let effects = assigned.scheduler.record_inventory(
                     now,
                     endpoint,
                     contents.started_ms,
