--- a/components/coordination/src/admission.rs
+++ b/components/coordination/src/admission.rs
@@ -8,7 +8,7 @@
 
 use crate::overload::{CALM_LATENESS_MS, OVERLOAD_LATENESS_MS};
 
-/// Requests and connections admitted since the last probe from which on its lateness counts
+/// With at least this many requests and connections admitted before a probe, its lateness counts
 /// as caused by this process: an eighth of a core handles about as many in
 /// [`OVERLOAD_LATENESS_MS`].
 const BURST: u64 = 32;
--- a/components/coordination/src/assignment.rs
+++ b/components/coordination/src/assignment.rs
@@ -9,7 +9,7 @@
 /// Time that a new leader waits for heartbeats before it assigns, in milliseconds.
 pub const CANDIDATE_WAIT_MS: u64 = 600;
 
-/// Average endpoints per data centre of a region from which on each data centre has its own
+/// Average endpoints per data centre of a region at or above which each data centre has its own
 /// scheduler. With fewer, some prompts would be cached in too few places, and each scheduler
 /// would see too little of the load.
 const SPLIT_ENDPOINTS: usize = 12;
@@ -26,7 +26,7 @@
 /// Most cells of one data centre.
 const CELLS_MAX: u16 = 1 << 14;
 
-/// Routers per scheduler from which on the VM of a scheduler takes no callers: callers then
+/// Routers per scheduler at or above which the VM of a scheduler takes no callers: callers then
 /// lose at most one router in twelve.
 const ROUTERS_PER_SCHEDULER: usize = 12;
 
--- a/components/coordination/src/budget.rs
+++ b/components/coordination/src/budget.rs
@@ -33,7 +33,8 @@
 /// Least number of connections of each kind, however small the VM. A router with fewer is of
 /// no use.
 const CONNECTIONS_MIN: u64 = 16;
-/// Percentage of the caller connections in use from which on answers close their connection.
+/// Answers close their connection if at least this percentage of the caller connections that a
+/// router may have are open.
 ///
 /// Keeping connections open helps callers that return soon, but most of those that a flood
 /// leaves behind stay idle. Closing them after their answers makes room for other callers
--- a/components/coordination/src/dispatcher/session.rs
+++ b/components/coordination/src/dispatcher/session.rs
@@ -22,8 +22,8 @@
 /// earliest.
 const REFUSAL_MS: u64 = 100;
 
-/// Percentage of a shard's engines with a prompt to prefill from which on the shard counts as
-/// busy.
+/// A shard counts as busy if on average at least this percentage of its engines have a prompt to
+/// prefill.
 const BUSY_PERCENT: u32 = 60;
 /// Number of requests over which that percentage is averaged.
 const BUSY_AVERAGE_REQUESTS: u32 = 8;
--- a/components/coordination/src/engine/mod.rs
+++ b/components/coordination/src/engine/mod.rs
@@ -261,7 +261,7 @@
         reserved: u64,
     ) -> u64 {
         let jitter = if uncached == prompt.tokens() {
-            // Without it, every scheduler, and every router that has lost its scheduler, would
+            // Without jitter, every scheduler, and every router that has lost its scheduler, would
             // choose the same engine for a part that no engine is known to have cached.
             uncached * (mix(u64::from(prompt.first_key()) << 32 | u64::from(id.0)) % 1024) / 4096
         } else {
--- a/components/coordination/src/overload.rs
+++ b/components/coordination/src/overload.rs
@@ -8,8 +8,9 @@
 
 use state::clock::Millis;
 
-/// Task lateness from which on requests are refused, in milliseconds. It leaves enough of
+/// Task lateness at or above which requests are refused, in milliseconds. It leaves enough of
 /// the shortest time to first byte that callers accept, 150 ms, for the rest of the way.
+/// A mean lateness at or above it makes the router unready.
 pub const OVERLOAD_LATENESS_MS: u64 = 40;
 /// Mean lateness below which an unready router becomes ready again, in milliseconds. Half of
 /// [`OVERLOAD_LATENESS_MS`], so that the router does not flap with each burst.
@@ -25,8 +26,8 @@
 /// Largest lateness that one probe contributes to the average, in milliseconds. After a pause
 /// of seconds, as when a VM was suspended, the average would otherwise take seconds to fall.
 const SAMPLE_MAX_MS: u64 = 200;
-/// Least lateness that a router without room for another connection counts with, in
-/// milliseconds, since it closes each new connection at once.
+/// Least lateness that one probe contributes to the average while the router has no room for
+/// another connection, in milliseconds: the router then closes each new connection at once.
 const NO_ROOM_LATENESS_MS: u64 = 2 * OVERLOAD_LATENESS_MS;
 /// Least time for which a router stays unready, in milliseconds. Load balancers probe once a
 /// second and need two failed probes.
--- a/components/coordination/src/scheduler/mod.rs
+++ b/components/coordination/src/scheduler/mod.rs
@@ -42,11 +42,11 @@
 /// Its router may only be disconnected from this scheduler while its requests continue. A
 /// router that reconnects reports the requests that still run.
 pub const ORPHAN_MS: u64 = 1000;
-/// Time without a first byte after which an endpoint has failed a request that its caller has
-/// cancelled, in latency targets of the request.
+/// Time without a first byte after which a request that its caller cancels counts as failed by
+/// the endpoint, in multiples of the request's latency target.
 const SILENT_AIMS: u64 = 2;
-/// Shortest latency target for this purpose, in milliseconds: the network and a full queue
-/// take longer than shorter targets.
+/// Shortest latency target that [`SILENT_AIMS`] multiplies, in milliseconds: the network and a
+/// full queue take longer than shorter targets.
 const SILENT_AIM_MIN_MS: u64 = 500;
 /// Longest wait for the cache inventories of engines, from the end of [`GATHER_MS`] on, in
 /// milliseconds: one page of an inventory takes about 10 to 30 ms.
--- a/components/coordination/src/slot/mod.rs
+++ b/components/coordination/src/slot/mod.rs
@@ -26,8 +26,9 @@
 /// Most prompt prefixes that are remembered for each endpoint that is no engine.
 pub const PREFIXES_MAX: usize = 64;
 
-/// Load, in multiples of all slots, at which an endpoint is ranked if it fails all of its
-/// requests: with 2, an endpoint that fails half of them ranks behind a full one.
+/// Load that is added to an endpoint's own when free endpoints are compared, if it fails all of
+/// its requests, in multiples of its slots. It is proportional to the share of failures: with 2,
+/// an endpoint that fails half of its requests ranks no better than a full one.
 const FAILURE_LOADS: u64 = 2;
 /// Most entries in the running history of an endpoint: only their maximum is used, so that the
 /// oldest of many quick changes can be dropped.
--- a/components/state/src/suspect.rs
+++ b/components/state/src/suspect.rs
@@ -10,9 +10,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Crashes from which on a request is quarantined.
+/// A request with at least this many crashes is quarantined.
 pub const QUARANTINE_CRASHES: u32 = 3;
-/// Crashes from which on all routers watch for an answer that clears the request.
+/// All routers watch for an answer that clears a request with at least this many crashes.
 pub const WATCH_CRASHES: u32 = 2;
 /// Duration of a first quarantine, and of a suspicion, in microseconds.
 pub const QUARANTINE_MICROS: u64 = 600 * 1_000_000;
