--- a/components/coordination/src/dispatcher/mod.rs
+++ b/components/coordination/src/dispatcher/mod.rs
@@ -39,15 +39,15 @@
 /// Factor by which a request's cost must grow before it is reported again.
 const PROGRESS_FACTOR: u32 = 2;
 
-/// Divisor of a request's aim, its time to first byte, that gives how long the first request
-/// of a class may wait without an ask before new requests of the class are refused.
+/// Divisor of a request's latency target, its time to first byte, that gives how long the first
+/// request of a class may wait without an ask before new requests of the class are refused.
 ///
 /// The scheduler sees [`ASK_WINDOW`] requests of a class and refuses those that would be late,
 /// but it does not see the requests behind them. With a bound on their number alone, hundreds
-/// of requests would wait long past their aims only to be refused then.
+/// of requests would wait long past their latency targets only to be refused then.
 const STUCK_AIM_DIVISOR: u64 = 4;
-/// Divisor of a request's aim that gives how long it may wait without an ask before it is
-/// refused.
+/// Divisor of a request's latency target that gives how long it may wait without an ask before
+/// it is refused.
 const UNASKED_AIM_DIVISOR: u64 = 2;
 /// Time after which the caller of such a refused request may retry, in milliseconds.
 const UNASKED_RETRY_AFTER_MS: u32 = 300;
@@ -114,7 +114,7 @@
     /// Refuse the request, which cannot be served in time.
     Refuse(Handle, Refusal),
     /// Refuse the request because no endpoint takes work for it.
-    Unserved(Handle),
+    NoEndpoint(Handle),
     /// Give up the request, which was not sent before its deadline.
     Expire(Handle),
 }
@@ -356,7 +356,12 @@
 
     /// Reports that the first byte of an answer has arrived, `took_ms` after the request was
     /// dispatched; `None` if this router ran late and its measurement is unreliable.
-    pub fn began(&mut self, now: Millis, handle: Handle, took_ms: Option<u32>) -> Effects {
+    pub fn report_first_byte(
+        &mut self,
+        now: Millis,
+        handle: Handle,
+        took_ms: Option<u32>,
+    ) -> Effects {
         let mut effects = Effects::new();
         let Some(request) = self.requests.get(handle) else {
             return effects;
@@ -365,7 +370,7 @@
             return effects;
         };
         let shard = request.shard.clone();
-        self.report(now, &shard, Report::Began(seq, took_ms), &mut effects);
+        self.report(now, &shard, Report::FirstByte(seq, took_ms), &mut effects);
         effects
     }
 
@@ -448,7 +453,7 @@
     }
 
     /// Applies a new view: assignments of schedulers, and endpoints that join or leave.
-    pub fn follow(&mut self, now: Millis, view: &View) -> Effects {
+    pub fn update_view(&mut self, now: Millis, view: &View) -> Effects {
         let mut effects = Effects::new();
         self.selector.update(view);
         let endpoints = view.config.endpoints.iter();
@@ -567,7 +572,7 @@
     }
 }
 
-/// Endpoints of a shard: id, slots, lead, and whether the endpoint gets no new work.
+/// Endpoints of a shard: id, slots, prefetch, and whether the endpoint gets no new work.
 pub fn endpoints<'a>(
     view: &'a View,
     shard: &'a Shard,
--- a/components/coordination/src/scheduler/mod.rs
+++ b/components/coordination/src/scheduler/mod.rs
@@ -26,7 +26,7 @@
 use crate::health;
 use crate::ledger::{virtual_cost, Ledger};
 use crate::limit::Bucket;
-use crate::messages::{Forecast, Hello, Seq, Served};
+use crate::messages::{Forecast, Hello, Seq, Totals};
 use crate::prelude::*;
 use crate::prompt::Part;
 use crate::slot::{Slots, Strategy};
@@ -42,11 +42,11 @@
 /// Its router may only be disconnected from this scheduler while its requests continue. A
 /// router that reconnects reports the requests that still run.
 pub const ORPHAN_MS: u64 = 1000;
-/// Time without a first byte after which an endpoint has failed a request that its caller has
-/// cancelled, in latency targets of the request.
+/// Time without a first byte after which a request that its caller cancels counts as failed by
+/// the endpoint, in multiples of the request's latency target.
 const SILENT_AIMS: u64 = 2;
-/// Shortest latency target for this purpose, in milliseconds: the network and a full queue
-/// take longer than shorter targets.
+/// Shortest latency target that [`SILENT_AIMS`] multiplies, in milliseconds: the network and a
+/// full queue take longer than shorter targets.
 const SILENT_AIM_MIN_MS: u64 = 500;
 /// Longest wait for the cache inventories of engines, from the end of [`GATHER_MS`] on, in
 /// milliseconds: one page of an inventory takes about 10 to 30 ms.
@@ -290,7 +290,7 @@
         self.next_session += 1;
         self.sessions.insert(session);
         for cached in &hello.cached {
-            self.slots.note_cached(now, cached.endpoint, cached.part);
+            self.slots.record_cached(now, cached.endpoint, cached.part);
         }
         for backoff in &hello.backoff {
             self.slots.back_off(now, session.0, backoff);
@@ -349,16 +349,16 @@
 
     /// Takes the inventory of an engine, which is empty if it could not be read, and the start
     /// time that the engine has reported, in Unix milliseconds.
-    pub fn note_inventory(
+    pub fn record_inventory(
         &mut self,
         now: Millis,
         endpoint: EndpointId,
         started_at: Option<u64>,
         parts: &[Part],
     ) -> Effects {
-        if self.slots.note_start(endpoint, started_at) {
+        if self.slots.record_start(endpoint, started_at) {
             for part in parts {
-                self.slots.note_cached(now, endpoint, *part);
+                self.slots.record_cached(now, endpoint, *part);
             }
         }
         self.inventories_missing.remove(&endpoint);
@@ -376,7 +376,7 @@
                 Effects::new()
             }
             Report::Return(seq) => self.return_grant(now, session, seq),
-            Report::Began(seq, took_ms) => self.note_first_byte(now, session, seq, took_ms),
+            Report::FirstByte(seq, took_ms) => self.record_first_byte(now, session, seq, took_ms),
             Report::Progress(seq, cost) => {
                 self.progress(session, seq, cost);
                 Effects::new()
@@ -439,9 +439,9 @@
         self.grant(now)
     }
 
-    /// Notes the first byte of an answer, `took_ms` after the grant reached the router: the
+    /// Records the first byte of an answer, `took_ms` after the grant reached the router: the
     /// engine has prefilled the prompt, and may be sent the next one.
-    pub fn note_first_byte(
+    pub fn record_first_byte(
         &mut self,
         now: Millis,
         session: Session,
@@ -452,10 +452,10 @@
             running.silent_at = None;
             if let Some(prefill) = &mut running.prefill {
                 self.slots
-                    .note_first_byte(now, running.endpoint, prefill, took_ms);
+                    .record_first_byte(now, running.endpoint, prefill, took_ms);
             }
         }
-        self.note_prefilled(session, seq);
+        self.record_prefilled(session, seq);
         self.grant(now)
     }
 
@@ -488,7 +488,7 @@
         };
         // Callers cancel requests to an endpoint that never answers.
         if verdict == Verdict::Cancelled && running.silent_at.is_some_and(|at| at <= now) {
-            self.slots.note_silence(now, running.endpoint);
+            self.slots.record_silence(now, running.endpoint);
         }
         match change {
             health::Change::Ejected => effects.push(Effect::Ejected(running.endpoint)),
@@ -508,12 +508,12 @@
     /// Takes the next report of the service given here in this epoch, for other regions: the
     /// totals that have grown since the last report, and regularly all totals, in case a report
     /// was lost.
-    pub fn take_served(&mut self) -> Served {
+    pub fn take_service_totals(&mut self) -> Totals {
         let grown = std::mem::take(&mut self.grown);
         let all = self.reports.is_multiple_of(FULL_REPORT_INTERVAL);
         self.reports = self.reports.wrapping_add(1);
         let reported = self.served.iter().filter(|(c, _)| all || grown.contains(c));
-        Served {
+        Totals {
             epoch: self.epoch,
             all,
             totals: reported
@@ -526,13 +526,13 @@
     ///
     /// The first report with all totals of an epoch only sets the base for counting: earlier
     /// service was counted by the scheduler that this one has replaced.
-    pub fn merge_served(&mut self, served: &Served) {
-        let is_known = self.foreign.contains_key(&served.epoch);
-        if !is_known && !served.all {
+    pub fn merge_service_totals(&mut self, received: &Totals) {
+        let is_known = self.foreign.contains_key(&received.epoch);
+        if !is_known && !received.all {
             return;
         }
-        let totals = self.foreign.entry(served.epoch).or_default();
-        for (customer, total) in &served.totals {
+        let totals = self.foreign.entry(received.epoch).or_default();
+        for (customer, total) in &received.totals {
             let last = totals.insert(*customer, *total);
             let base = if is_known { last.unwrap_or(0) } else { *total };
             self.ledger.add(*customer, total.saturating_sub(base));
@@ -631,7 +631,7 @@
         let customer = ask.class.customer;
         self.throughput.start(ask.hint);
         self.granted += 1;
-        self.allocations.note_granted(customer, ask.hint);
+        self.allocations.record_granted(customer, ask.hint);
         // The charge comes before the removal of the ask, after which the customer may no longer
         // be backlogged.
         let amount = virtual_cost(ask.hint, ask.weight);
--- a/components/coordination/src/slot/mod.rs
+++ b/components/coordination/src/slot/mod.rs
@@ -26,8 +26,9 @@
 /// Most prompt prefixes that are remembered for each endpoint that is no engine.
 pub const PREFIXES_MAX: usize = 64;
 
-/// Load, in multiples of all slots, at which an endpoint is ranked if it fails all of its
-/// requests: with 2, an endpoint that fails half of them ranks behind a full one.
+/// Load that is added to an endpoint's own when free endpoints are compared, if it fails all of
+/// its requests, in multiples of its slots. It is proportional to the share of failures: with 2,
+/// an endpoint that fails half of its requests ranks no better than a full one.
 const FAILURE_LOADS: u64 = 2;
 /// Most entries in the running history of an endpoint: only their maximum is used, so that the
 /// oldest of many quick changes can be dropped.
@@ -39,7 +40,7 @@
     id: EndpointId,
     slots: u32,
     /// Requests beyond its slots that may be sent ahead, to cover the grant's round trip.
-    lead: u32,
+    prefetch: u32,
     /// Whether the endpoint gets no new requests.
     leaving: bool,
     /// Requests in progress that this scheduler has granted.
@@ -173,7 +174,7 @@
         engine.is_some_and(|engine| engine.has_prefilled(key))
     }
 
-    /// Notes that an engine of another scheduler has prefilled a part.
+    /// Records that an engine of another scheduler has prefilled a part.
     pub fn add_foreign(&mut self, key: u32, endpoint: EndpointId) {
         self.foreign.insert(key, endpoint);
     }
@@ -192,7 +193,7 @@
         self.cold_rate = rate;
     }
 
-    /// Notes that an endpoint is cold until `until`. Its first request is delayed by
+    /// Records that an endpoint is cold until `until`. Its first request is delayed by
     /// `offset_permille` of the interval between two requests, so that processes which share
     /// the rate do not send at the same time.
     pub fn set_cold(&mut self, now: Millis, id: EndpointId, until: Millis, offset_permille: u64) {
@@ -213,7 +214,7 @@
     }
 
     /// Adds or changes an endpoint.
-    pub fn set(&mut self, id: EndpointId, slots: u32, lead: u32, leaving: bool) {
+    pub fn set(&mut self, id: EndpointId, slots: u32, prefetch: u32, leaving: bool) {
         let index = self.endpoints.index_or_insert(id, || Endpoint::new(id));
         self.ranking.mark_stale(index);
         let Some(endpoint) = self.endpoints.at_mut(index) else {
@@ -231,11 +232,11 @@
             }
         }
         endpoint.slots = slots;
-        endpoint.lead = lead;
+        endpoint.prefetch = prefetch;
         endpoint.leaving = leaving;
     }
 
-    /// Notes that an endpoint has asked the router of a session to send no requests for a
+    /// Records that an endpoint has asked the router of a session to send no requests for a
     /// while; an endpoint that is leaving gets no requests from any router.
     pub fn back_off(&mut self, now: Millis, session: u32, backoff: &Backoff) {
         let Some(endpoint) = self.endpoint_mut(backoff.endpoint) else {
@@ -334,13 +335,13 @@
         empty.map(|(id, _)| id).collect()
     }
 
-    /// Notes the start time that an endpoint has reported; false if it precedes the known
+    /// Records the start time that an endpoint has reported; false if it precedes the known
     /// one, so that the report comes from an earlier run of the endpoint.
     ///
     /// An endpoint that has restarted under its name has an empty cache, and the failures of
     /// its earlier run do not count: prompts would otherwise be sent to it for parts that it
     /// has to prefill again, and its rank would depend on its earlier run.
-    pub fn note_start(&mut self, id: EndpointId, started_at: Option<u64>) -> bool {
+    pub fn record_start(&mut self, id: EndpointId, started_at: Option<u64>) -> bool {
         let Some(index) = self.endpoints.index_of(id) else {
             return true;
         };
@@ -362,13 +363,15 @@
         true
     }
 
-    /// Notes a part that an engine is reported to have cached.
-    pub fn note_cached(&mut self, now: Millis, id: EndpointId, part: Part) {
-        self.with_engine(id, |engine, changes| engine.note_cached(now, part, changes));
+    /// Records a part that an engine is reported to have cached.
+    pub fn record_cached(&mut self, now: Millis, id: EndpointId, part: Part) {
+        self.with_engine(id, |engine, changes| {
+            engine.record_cached(now, part, changes)
+        });
     }
 
-    /// Notes the first byte of an answer of an engine, `took_ms` after the grant.
-    pub fn note_first_byte(
+    /// Records the first byte of an answer of an engine, `took_ms` after the grant.
+    pub fn record_first_byte(
         &mut self,
         now: Millis,
         id: EndpointId,
@@ -376,7 +379,7 @@
         took_ms: Option<u32>,
     ) {
         self.with_engine(id, |engine, _| {
-            engine.note_first_byte(now, prefill, took_ms)
+            engine.record_first_byte(now, prefill, took_ms)
         });
     }
 
@@ -439,7 +442,7 @@
     }
 
     /// Counts a request to which an endpoint has not responded for far too long as failed.
-    pub fn note_silence(&mut self, now: Millis, id: EndpointId) {
+    pub fn record_silence(&mut self, now: Millis, id: EndpointId) {
         if let Some(endpoint) = self.endpoint_mut(id) {
             endpoint.reliability.record(now, true);
         }
@@ -542,7 +545,7 @@
         Endpoint {
             id,
             slots: 0,
-            lead: 0,
+            prefetch: 0,
             leaving: false,
             running: 0,
             history: VecDeque::new(),
@@ -578,7 +581,7 @@
         if self.leaving || self.is_leaving(now) || self.is_paced(now) {
             return 0;
         }
-        let capacity = self.health.capacity(now, self.slots + self.lead);
+        let capacity = self.health.capacity(now, self.slots + self.prefetch);
         capacity.saturating_sub(self.running + self.foreign_load)
     }
 
@@ -613,7 +616,7 @@
         !self.leaving
             && !self.is_leaving(now)
             && !self.is_paced(now)
-            && self.health.capacity(now, self.slots + self.lead) > 0
+            && self.health.capacity(now, self.slots + self.prefetch) > 0
     }
 
     /// Load in thousandths of the slots; the lowest score is best. An endpoint that has not
--- a/components/node/src/metric.rs
+++ b/components/node/src/metric.rs
@@ -47,7 +47,7 @@
     pub(crate) queue_wait: Histogram,
     /// Seconds from a request's arrival to the end of its answer.
     pub(crate) duration: Histogram,
-    /// Attempts after the first one of a request.
+    /// Tries of a request after its first one.
     pub(crate) retries: IntCounter,
     /// Requests that wait on this router.
     pub(crate) waiting: IntGauge,
@@ -59,7 +59,7 @@
     pub(crate) accepted_connections: IntCounter,
     /// Requests whose head was read.
     pub(crate) request_heads: IntCounter,
-    /// Attempts sent to endpoints.
+    /// Tries sent to endpoints.
     pub(crate) attempts: IntCounter,
     /// Connections closed unread, because tasks ran late or the connection limit was reached.
     pub(crate) closed_unread: IntCounter,
@@ -88,7 +88,7 @@
     /// Grants sent by the schedulers of this VM.
     pub(crate) grants: IntCounter,
     /// Grants that routers returned.
-    pub(crate) returns: IntCounter,
+    pub(crate) returned_grants: IntCounter,
     /// Slots, routers, and running and waiting requests of the shards that are scheduled here.
     pub(crate) slots: IntGaugeVec,
     /// Virtual service of customers in the shards that are scheduled here.
@@ -245,7 +245,7 @@
                 "cowslipford_grants_total",
                 "Grants given by schedulers here.",
             )?,
-            returns: counter(
+            returned_grants: counter(
                 "cowslipford_returns_total",
                 "Grants that routers gave back.",
             )?,
