--- a/components/node/src/frontend/delivery.rs
+++ b/components/node/src/frontend/delivery.rs
@@ -1,5 +1,6 @@
-//! One delivery of a request to an endpoint, as far as it tells whether the request crashes
-//! endpoints.
+//! Deliveries of requests to endpoints, watched to find requests that crash their endpoints.
+//!
+//! A request that is suspected by several crashes is put into quarantine and refused.
 
 use super::listen::Frontend;
 use super::refusal::Refusal;
@@ -12,51 +13,55 @@
 use state::suspect::{Completion, Crash, Successes};
 use std::sync::{Arc, MutexGuard, PoisonError};
 
-/// A delivery that is under way.
+/// A delivery of one request to one endpoint, in progress.
 pub(crate) struct Delivery {
     frontend: Arc<Frontend>,
     fingerprint: Fingerprint,
     customer: CustomerId,
-    sent: Stamp,
+    /// When the request was sent.
+    sent_at: Stamp,
 }
 
 impl Delivery {
-    /// A delivery that begins now.
+    /// Starts a delivery now.
     pub(crate) fn new(frontend: &Arc<Frontend>, call: &Call, customer: CustomerId) -> Self {
         Delivery {
             frontend: frontend.clone(),
             fingerprint: call.fingerprint(),
             customer,
-            sent: frontend.context.clock.stamp(),
+            sent_at: frontend.context.clock.stamp(),
         }
     }
 
-    /// Its endpoint broke it off.
-    pub(crate) fn broke_off(&self) {
+    /// Reports that the endpoint closed the connection before the end of its answer: the request
+    /// may have crashed it.
+    ///
+    /// Nothing is reported if a recent complete answer exonerates the request.
+    pub(crate) fn report_break(&self) {
         let crash = Crash {
             fingerprint: self.fingerprint,
             customer: self.customer,
-            sent: self.sent,
+            sent: self.sent_at,
             at: self.frontend.context.clock.stamp(),
         };
         if self.frontend.successes().rules_out(&crash) {
             return;
         }
-        // The reactor ends only together with this process.
+        // Sending fails only at the end of this process.
         let _ = self.frontend.context.reactor.send(Input::Crashed(crash));
     }
 
-    /// Its endpoint has answered whole, and not that it failed.
-    pub(crate) fn answered(&self) {
-        let clearance = Completion {
+    /// Reports that the endpoint has answered completely, and not with a server error.
+    pub(crate) fn report_success(&self) {
+        let completion = Completion {
             fingerprint: self.fingerprint,
             at: self.frontend.context.clock.stamp(),
         };
-        self.frontend.successes().record(&clearance);
+        self.frontend.successes().record(&completion);
         if !self
             .frontend
             .context
-            .verdicts
+            .suspicions
             .borrow()
             .contains(&self.fingerprint)
         {
@@ -66,20 +71,25 @@
             .frontend
             .context
             .reactor
-            .send(Input::Cleared(clearance));
+            .send(Input::Completed(completion));
     }
 }
 
 impl Frontend {
+    /// Fingerprints of requests that were answered completely not long ago.
     fn successes(&self) -> MutexGuard<'_, Successes> {
         let successes = self.successes.lock();
         successes.unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Refuses a request that is in quarantine.
+    ///
+    /// # Errors
+    ///
+    /// The refusal, if the request is in quarantine.
     pub(crate) fn check_quarantine(&self, call: &Call) -> Result<(), Refusal> {
-        let verdicts = self.context.verdicts.borrow();
-        if verdicts.is_empty() || !verdicts.is_quarantined(&call.fingerprint()) {
+        let suspicions = self.context.suspicions.borrow();
+        if suspicions.is_empty() || !suspicions.is_quarantined(&call.fingerprint()) {
             return Ok(());
         }
         Err(quarantined())
@@ -87,16 +97,16 @@
 
     /// Waits until a request is put into quarantine.
     pub(crate) async fn until_quarantined(&self, call: &Call) {
-        let mut verdicts = self.context.verdicts.clone();
-        let found = verdicts.wait_for(|v| !v.is_empty() && v.is_quarantined(&call.fingerprint()));
+        let mut suspicions = self.context.suspicions.clone();
+        let found = suspicions.wait_for(|v| !v.is_empty() && v.is_quarantined(&call.fingerprint()));
         if found.await.is_err() {
-            // The reactor has ended, and this process with it.
+            // The reactor has ended, so this process is ending too.
             std::future::pending::<()>().await;
         }
     }
 }
 
-/// The refusal of a request in quarantine. Its earlier tries may have run.
+/// Refusal of a request in quarantine, whose earlier tries may have run.
 pub(crate) fn quarantined() -> Refusal {
     let text = "endpoints have crashed while they ran this request, one after the other; \
                 it is not sent to any more of them";
